--- a/src/callers.lib/caller.cpp
+++ b/src/callers.lib/caller.cpp
@@ -21,7 +21,7 @@
 {
     if (!workspaces)
         return { CallerVerdict::admitted, Caller() };
-    const Workspace* holder = key.text() ? workspaces->holder(*key.text()) : nullptr;
+    const Workspace* holder = key.text() ? workspaces->find_by_key(*key.text()) : nullptr;
     if (holder != nullptr)
         return { CallerVerdict::admitted, Caller::of(holder->name) };
     if (queue_is_public)
--- a/src/callers.lib/callers_test.cpp
+++ b/src/callers.lib/callers_test.cpp
@@ -85,7 +85,7 @@
     const auto found = check_caller(std::nullopt, false, PresentedKey({ "x" }), true);
     BOOST_TEST((found.verdict == CallerVerdict::admitted));
     BOOST_TEST(found.caller.may_see("a"));
-    BOOST_TEST(!found.caller.told_apart());
+    BOOST_TEST(!found.caller.workspaces_enabled());
 }
 
 BOOST_AUTO_TEST_CASE(callers_see_the_jobs_of_their_workspace_and_nobodys)
@@ -102,7 +102,7 @@
     Workspaces workspaces = two_workspaces();
     BOOST_TEST((workspaces.add_key("a1") == WorkspaceFault::shared_key));
     BOOST_TEST(!workspaces.add_key("b1")); // Twice in one workspace.
-    BOOST_TEST(workspaces.holder("a1")->name == "a");
+    BOOST_TEST(workspaces.find_by_key("a1")->name == "a");
 }
 
 BOOST_AUTO_TEST_CASE(workspaces_without_a_name_of_their_own_are_left_out)
--- a/src/callers.lib/job_budget.cpp
+++ b/src/callers.lib/job_budget.cpp
@@ -13,17 +13,17 @@
 constexpr double second_ms = 1000;
 } // namespace
 
-bool JobBudget::take(double weight, int64_t at_ms)
+bool JobBudget::try_consume(double weight, int64_t at_ms)
 {
     const double most = std::max(1.0, weight * saved_up_s);
-    const int64_t before = m_as_of.value_or(at_ms);
+    const int64_t before = m_updated_at.value_or(at_ms);
     const int64_t now = std::max(before, at_ms);
     const double earned = weight * double(now - before) / second_ms;
-    m_left = m_as_of ? std::min(most, m_left + earned) : most;
-    m_as_of = now;
-    if (m_left < 1)
+    m_tokens = m_updated_at ? std::min(most, m_tokens + earned) : most;
+    m_updated_at = now;
+    if (m_tokens < 1)
         return false;
-    m_left -= 1;
+    m_tokens -= 1;
     return true;
 }
 
--- a/src/callers.lib/job_budget_test.cpp
+++ b/src/callers.lib/job_budget_test.cpp
@@ -19,7 +19,7 @@
 {
     int within = 0;
     for (int64_t at = from_ms; at < from_ms + span_ms; at += 1000 / per_s)
-        within += budget.take(weight, at) ? 1 : 0;
+        within += budget.try_consume(weight, at) ? 1 : 0;
     return within;
 }
 
@@ -44,18 +44,18 @@
 BOOST_AUTO_TEST_CASE(a_short_burst_of_one_that_has_sent_little_is_within)
 {
     JobBudget budget;
-    BOOST_TEST(budget.take(5, 0));
+    BOOST_TEST(budget.try_consume(5, 0));
     BOOST_TEST(send(budget, 5, 100, 10000, 90) == 9);
     JobBudget rare;
-    BOOST_TEST(rare.take(0.1, 0));
-    BOOST_TEST(!rare.take(0.1, 100));
-    BOOST_TEST(rare.take(0.1, 10100));
+    BOOST_TEST(rare.try_consume(0.1, 0));
+    BOOST_TEST(!rare.try_consume(0.1, 100));
+    BOOST_TEST(rare.try_consume(0.1, 10100));
 }
 
 BOOST_AUTO_TEST_CASE(jobs_that_are_told_of_late_earn_nothing)
 {
     JobBudget budget;
     BOOST_TEST(send(budget, 1, 10, 10000, 1000) == 2);
-    BOOST_TEST(!budget.take(1, 2000));
-    BOOST_TEST(budget.take(1, 12000));
+    BOOST_TEST(!budget.try_consume(1, 2000));
+    BOOST_TEST(budget.try_consume(1, 12000));
 }
--- a/src/callers.lib/usage_ledger.cpp
+++ b/src/callers.lib/usage_ledger.cpp
@@ -61,22 +61,22 @@
     charged = charged - need;
 }
 
-void UsageLedger::clear_doubts()
+void UsageLedger::clear_in_doubt()
 {
     for (Entry& entry : m_entries)
-        entry.doubtful = Resources();
+        entry.in_doubt = Resources();
 }
 
-void UsageLedger::add_doubt(WorkspaceNumber workspace, const Resources& need)
+void UsageLedger::add_in_doubt(WorkspaceNumber workspace, const Resources& need)
 {
-    Resources& doubtful = m_entries[workspace].doubtful;
+    Resources& doubtful = m_entries[workspace].in_doubt;
     doubtful = doubtful + need;
 }
 
 Resources UsageLedger::running(WorkspaceNumber workspace) const
 {
     const Entry& entry = m_entries[workspace];
-    return entry.charged + entry.doubtful;
+    return entry.charged + entry.in_doubt;
 }
 
 bool UsageLedger::is_bounded(WorkspaceNumber workspace) const
@@ -85,29 +85,29 @@
     return bound.cpu_millis > 0 || bound.memory_mb > 0 || bound.accelerators > 0;
 }
 
-Resources UsageLedger::free(const Entry& entry) const
+Resources UsageLedger::available(const Entry& entry) const
 {
     const Entry& anybody = m_entries[unknown];
-    return entry.bound - entry.charged - entry.doubtful - entry.aside - anybody.charged
-        - anybody.doubtful;
+    return entry.bound - entry.charged - entry.in_doubt - entry.reserved - anybody.charged
+        - anybody.in_doubt;
 }
 
 int UsageLedger::tasks_allowed(WorkspaceNumber workspace, const Resources& need,
                                int most) const
 {
     const Entry& entry = m_entries[workspace];
-    return tasks_within(need, free(entry), entry.bound, most);
+    return tasks_that_fit(need, available(entry), entry.bound, most);
 }
 
-void UsageLedger::begin_round()
+void UsageLedger::clear_reservations()
 {
     for (Entry& entry : m_entries)
-        entry.aside = Resources();
+        entry.reserved = Resources();
 }
 
-void UsageLedger::set_aside(WorkspaceNumber workspace, const Resources& need)
+void UsageLedger::reserve(WorkspaceNumber workspace, const Resources& need)
 {
-    Resources& aside = m_entries[workspace].aside;
+    Resources& aside = m_entries[workspace].reserved;
     aside = aside + need;
 }
 
--- a/src/callers.lib/usage_ledger_test.cpp
+++ b/src/callers.lib/usage_ledger_test.cpp
@@ -71,10 +71,10 @@
     ledger.configure(
         with_bounds({ bounded("a", { 4000, 0, 0 }), bounded("b", { 2000, 0, 0 }) }));
     ledger.charge(UsageLedger::unknown, { 1000, 0, 0 });
-    ledger.add_doubt(UsageLedger::unknown, { 1000, 0, 0 });
+    ledger.add_in_doubt(UsageLedger::unknown, { 1000, 0, 0 });
     BOOST_TEST(ledger.tasks_allowed(ledger.number_of("a"), { 1000, 0, 0 }, most) == 2);
     BOOST_TEST(ledger.tasks_allowed(ledger.number_of("b"), { 1000, 0, 0 }, most) == 0);
-    ledger.clear_doubts();
+    ledger.clear_in_doubt();
     BOOST_TEST(ledger.tasks_allowed(ledger.number_of("b"), { 1000, 0, 0 }, most) == 1);
 }
 
@@ -83,10 +83,10 @@
     UsageLedger ledger;
     ledger.configure(with_bounds({ bounded("a", { 4000, 0, 0 }) }));
     const auto a = ledger.number_of("a");
-    ledger.begin_round();
-    ledger.set_aside(a, { 3000, 0, 0 });
+    ledger.clear_reservations();
+    ledger.reserve(a, { 3000, 0, 0 });
     BOOST_TEST(ledger.tasks_allowed(a, { 1000, 0, 0 }, most) == 1);
-    ledger.begin_round();
+    ledger.clear_reservations();
     BOOST_TEST(ledger.tasks_allowed(a, { 1000, 0, 0 }, most) == 4);
 }
 
@@ -149,14 +149,14 @@
                 }
             } else {
                 // Another leader: all runs are in doubt until they are reported.
-                ledger.clear_doubts();
+                ledger.clear_in_doubt();
                 for (Run& run : runs) {
                     const auto of = ledger.number_of("w" + std::to_string(run.workspace));
                     if (!run.doubtful)
                         ledger.discharge(of, run.need);
                     run.doubtful = below(2) == 0;
                     if (run.doubtful)
-                        ledger.add_doubt(of, run.need);
+                        ledger.add_in_doubt(of, run.need);
                     else
                         ledger.charge(of, run.need);
                 }
--- a/src/callers.lib/workspace.cpp
+++ b/src/callers.lib/workspace.cpp
@@ -18,8 +18,8 @@
 
 } // namespace
 
-int tasks_within(const Resources& need, const Resources& free, const Resources& bound,
-                 int most)
+int tasks_that_fit(const Resources& need, const Resources& free, const Resources& bound,
+                   int most)
 {
     most = tasks_of_kind(need.cpu_millis, free.cpu_millis, bound.cpu_millis, most);
     most = tasks_of_kind(need.memory_mb, free.memory_mb, bound.memory_mb, most);
@@ -67,7 +67,7 @@
 std::optional<WorkspaceFault> Workspaces::add_digest(const KeyDigest& digest)
 {
     const size_t holder = m_all.size() - 1;
-    const auto [entry, added] = m_holders.try_emplace(digest, holder);
+    const auto [entry, added] = m_key_owners.try_emplace(digest, holder);
     if (!added && entry->second != holder)
         return WorkspaceFault::shared_key;
     return std::nullopt;
@@ -81,15 +81,15 @@
     return found == m_all.end() ? nullptr : &*found;
 }
 
-const Workspace* Workspaces::holder(std::string_view key) const
+const Workspace* Workspaces::find_by_key(std::string_view key) const
 {
-    const auto found = m_holders.find(m_hasher.digest(key));
-    return found == m_holders.end() ? nullptr : &m_all[found->second];
+    const auto found = m_key_owners.find(m_hasher.digest(key));
+    return found == m_key_owners.end() ? nullptr : &m_all[found->second];
 }
 
 std::vector<std::pair<KeyDigest, size_t>> Workspaces::digests() const
 {
-    return { m_holders.begin(), m_holders.end() };
+    return { m_key_owners.begin(), m_key_owners.end() };
 }
 
 } // namespace pathport::callers
--- a/src/emulator.lib/cell.cpp
+++ b/src/emulator.lib/cell.cpp
@@ -40,7 +40,7 @@
 bool has_lasting(const ClientJob& job)
 {
     return std::any_of(job.facts.begin(), job.facts.end(),
-                       [](const TaskFacts& facts) { return facts.lasting; });
+                       [](const StepModel& facts) { return facts.lasting; });
 }
 
 } // namespace
@@ -57,14 +57,14 @@
     setup.node = name;
     setup.peer_address = name;
     setup.incarnation = incarnation;
-    setup.max_hold = cell.workers.max_hold;
-    setup.strength = strength;
-    setup.link_bytes = link_bytes;
+    setup.max_lease = cell.workers.max_hold;
+    setup.cpu_millicores = strength;
+    setup.link_bytes_per_s = link_bytes;
     setup.archive_batch = 1;
     World& world = cell.world;
     node = std::make_unique<jobs::JobNode>(
-        jobs::NodeParts { loop, store, store, workers, workers, peers, metrics,
-                          [&world] { return world.now().count(); } },
+        jobs::NodeContext { loop, store, store, workers, workers, peers, metrics,
+                            [&world] { return world.now().count(); } },
         setup);
     node->begin();
 }
@@ -79,10 +79,10 @@
         deliver(Millis(1), [done] { done(jobs::PeerEnd::refused, {}); });
         return;
     }
-    KeptConnections& connections = m_connections[address];
+    PooledConnections& connections = m_connections[address];
     const bool held = request.topic == jobs::PeerTopic::worker_calls;
-    const Millis hold = held ? jobs::relay_hold : Millis(0);
-    if (cut || target->loop.frozen() || connections.swallows(now, hold, timeout)) {
+    const Millis hold = held ? jobs::relay_poll_wait : Millis(0);
+    if (cut || target->loop.frozen() || connections.drops_call(now, hold, timeout)) {
         deliver(timeout, [done] { done(jobs::PeerEnd::silent, {}); });
         return;
     }
@@ -156,8 +156,9 @@
     if (slot)
         m_dead.push_back(std::move(slot));
     const int strength = m_strengths.try_emplace(node, usual_strength).first->second;
-    slot = std::make_unique<NodeProcess>(
-        *this, node, std::to_string(world.below(1000000000)), strength, m_link_bytes);
+    slot = std::make_unique<NodeProcess>(*this, node,
+                                         std::to_string(world.random_below(1000000000)),
+                                         strength, m_link_bytes);
     slot->loop.set_processor_cost(m_processor_cost);
 }
 
@@ -183,7 +184,7 @@
         if (process->loop.alive() && !process->loop.frozen())
             candidates.push_back(process.get());
     }
-    return candidates.empty() ? nullptr : candidates[world.below(candidates.size())];
+    return candidates.empty() ? nullptr : candidates[world.random_below(candidates.size())];
 }
 
 std::vector<std::string> Cell::node_names() const
@@ -224,7 +225,7 @@
     if (process == nullptr)
         return;
     process->loop.freeze_until(world.now() + span);
-    out_of_touch(node, span);
+    note_contact_loss(node, span);
 }
 
 void Cell::suspend(const std::string& node, Millis span)
@@ -233,22 +234,22 @@
     if (process == nullptr)
         return;
     process->loop.suspend_for(span);
-    out_of_touch(node, span);
+    note_contact_loss(node, span);
 }
 
-void Cell::cut_peers(const std::string& node, Millis span)
+void Cell::partition_from_peers(const std::string& node, Millis span)
 {
     m_cut_until[node] = world.now() + span;
-    out_of_touch(node, span);
+    note_contact_loss(node, span);
 }
 
-void Cell::silence_connections(int kept)
+void Cell::blackhole_connections(int kept)
 {
-    out_of_touch(Millis(0));
+    note_contact_loss(Millis(0));
     for (const auto& [name, process] : m_nodes) {
-        process->store.connections.silence(kept);
-        process->workers.silence(kept);
-        process->peers.silence(kept);
+        process->store.connections.blackhole(kept);
+        process->workers.blackhole_connections(kept);
+        process->peers.blackhole_connections(kept);
     }
 }
 
@@ -265,8 +266,8 @@
     NodeProcess* process = running(node);
     if (process == nullptr)
         return;
-    out_of_touch(node, stop_grace);
-    process->loop.deliver([process] { process->node->leave(); });
+    note_contact_loss(node, stop_grace);
+    process->loop.deliver([process] { process->node->begin_shutdown(); });
     world.after(stop_grace, [this, node, pause, process] {
         if (running(node) == process)
             kill(node, pause);
@@ -274,27 +275,27 @@
 }
 
 void Cell::submit(const std::string& id, const jobs::JobSpec& spec,
-                  const std::vector<TaskFacts>& facts, bool advised)
+                  const std::vector<StepModel>& facts, bool advised)
 {
     describe(id, spec, facts, queue(advised));
     try_submit(id, 0);
 }
 
 void Cell::submit_on(const std::string& queue, const std::string& id,
-                     const jobs::JobSpec& spec, const std::vector<TaskFacts>& facts,
+                     const jobs::JobSpec& spec, const std::vector<StepModel>& facts,
                      const std::string& key)
 {
     describe(id, spec, facts, *store.configuration().by_name(queue));
     m_jobs[id].key = key;
-    m_jobs[id].workspace = m_changes.back().holder(key);
-    workers.owned_by(id, m_jobs[id].workspace);
+    m_jobs[id].workspace = m_changes.back().key_owner(key);
+    workers.set_owner(id, m_jobs[id].workspace);
     try_submit(id, 0);
 }
 
 std::optional<jobs::ClientStatus> Cell::submit_at(const std::string& node,
                                                   const std::string& id,
                                                   const jobs::JobSpec& spec,
-                                                  const std::vector<TaskFacts>& facts)
+                                                  const std::vector<StepModel>& facts)
 {
     describe(id, spec, facts, queue(false));
     NodeProcess* process = running(node);
@@ -306,20 +307,21 @@
     world.run_for(client_limit);
     m_jobs[id].accepted = *answer == ClientStatus::ok;
     m_jobs[id].accepted_at = world.now();
-    m_jobs[id].doubtful = !*answer || *answer == ClientStatus::in_doubt;
+    m_jobs[id].outcome_unknown = !*answer || *answer == ClientStatus::in_doubt;
     return *answer;
 }
 
 void Cell::describe(const std::string& id, const jobs::JobSpec& spec,
-                    const std::vector<TaskFacts>& facts, const jobs::Queue& queue)
+                    const std::vector<StepModel>& facts, const jobs::Queue& queue)
 {
     ClientJob& job = m_jobs[id];
     job.queue = queue;
     job.spec = spec;
     job.facts = facts;
     for (size_t i = 0; i < facts.size(); ++i) {
-        workers.describe(id, static_cast<int>(i), facts[i]);
-        job.hopeless = job.hopeless || facts[i].fails >= job.queue.max_failures;
+        workers.define_step(id, static_cast<int>(i), facts[i]);
+        job.expected_to_fail
+            = job.expected_to_fail || facts[i].failing_runs >= job.queue.max_failures;
     }
 }
 
@@ -329,8 +331,8 @@
     if (job.accepted)
         return;
     if (tries >= most_tries) {
-        if (!job.doubtful)
-            workers.refused(id);
+        if (!job.outcome_unknown)
+            workers.note_refused(id);
         return;
     }
     NodeProcess* process = any_running();
@@ -357,7 +359,7 @@
         if (*answered)
             return;
         *answered = true;
-        m_jobs[id].doubtful = true;
+        m_jobs[id].outcome_unknown = true;
         try_submit(id, tries + 1);
     });
 }
@@ -371,9 +373,9 @@
         return;
     }
     if (status == ClientStatus::in_doubt)
-        job.doubtful = true;
+        job.outcome_unknown = true;
     if (status == ClientStatus::id_taken)
-        workers.breach("the id of " + id + " is said to be another's");
+        workers.note_violation("the id of " + id + " is said to be another's");
     if (status == ClientStatus::over_bound)
         tries = most_tries; // It won't become narrower.
     world.after(resubmit_pause, [this, id, tries] { try_submit(id, tries + 1); });
@@ -394,7 +396,7 @@
     NodeProcess* process = any_running();
     if (process == nullptr)
         return;
-    m_jobs[id].cancel_asked = true;
+    m_jobs[id].cancel_requested = true;
     process->node->cancel(
         id, world.now(), client_limit,
         [this, id](ClientStatus status) {
@@ -402,7 +404,7 @@
                 return;
             m_jobs[id].canceled = true;
             m_jobs[id].canceled_at = world.now();
-            workers.canceled(id);
+            workers.note_canceled(id);
         },
         caller_of(m_jobs[id]));
 }
@@ -458,21 +460,21 @@
     const std::string name = to_string(*state);
     if (*state == jobs::JobState::completed && !done)
         wrong.push_back(id + " is shown as completed and isn't done");
-    if (*state == jobs::JobState::canceled && !job.cancel_asked)
+    if (*state == jobs::JobState::canceled && !job.cancel_requested)
         wrong.push_back(id + " is shown as canceled and nobody asked for it");
-    if (*state == jobs::JobState::failed && !job.hopeless && !is_spent(id, job))
+    if (*state == jobs::JobState::failed && !job.expected_to_fail && !is_spent(id, job))
         wrong.push_back(id + " is shown as failed without cause");
     if (!is_final(*state) && (!has_lasting(job) || has_crashers(job)))
         wrong.push_back(id + " has not ended: " + name);
 }
 
-std::vector<std::string> Cell::verdict()
+std::vector<std::string> Cell::final_violations()
 {
-    std::vector<std::string> wrong = workers.breaches();
+    std::vector<std::string> wrong = workers.violations();
     wrong.insert(wrong.end(), m_standing.begin(), m_standing.end());
     wrong.insert(wrong.end(), m_late_configurations.begin(), m_late_configurations.end());
     for (const auto& [id, job] : m_jobs) {
-        if (job.canceled && workers.runs_any(id))
+        if (job.canceled && workers.has_running_task(id))
             wrong.push_back(id + " was cancelled and runs at the end");
         if (job.accepted)
             check_state(id, job, wrong);
--- a/src/emulator.lib/cell_callers.cpp
+++ b/src/emulator.lib/cell_callers.cpp
@@ -29,21 +29,21 @@
 
 } // namespace
 
-std::string ConfigurationChange::holder(const std::string& key) const
+std::string ConfigurationChange::key_owner(const std::string& key) const
 {
-    for (const WorkspaceFacts& facts : workspaces) {
+    for (const WorkspaceSetup& facts : workspaces) {
         if (std::count(facts.keys.begin(), facts.keys.end(), key) > 0)
             return facts.workspace.name;
     }
     return {};
 }
 
-void Cell::configure_workspaces(const std::vector<WorkspaceFacts>& workspaces)
+void Cell::configure_workspaces(const std::vector<WorkspaceSetup>& workspaces)
 {
     jobs::Configuration changed = store.configuration();
     ++changed.version;
-    changed.workspaces.emplace(callers::KeyHasher(world.below(1000000000)));
-    for (const WorkspaceFacts& facts : workspaces) {
+    changed.workspaces.emplace(callers::KeyHasher(world.random_below(1000000000)));
+    for (const WorkspaceSetup& facts : workspaces) {
         changed.workspaces->add(facts.workspace);
         for (const std::string& key : facts.keys)
             changed.workspaces->add_key(key);
@@ -69,7 +69,7 @@
         if (over)
             continue;
         Resources here;
-        for (const WorkspaceFacts& facts : m_changes[i].workspaces) {
+        for (const WorkspaceSetup& facts : m_changes[i].workspaces) {
             if (facts.workspace.name == workspace)
                 here = facts.workspace.bound;
         }
@@ -123,23 +123,25 @@
     std::set<std::string> holders;
     bool ever_held = false;
     for (const ConfigurationChange& change : m_changes) {
-        const std::string holder = change.holder(key);
+        const std::string holder = change.key_owner(key);
         ever_held = ever_held || !holder.empty();
         if (change.version >= owed && !change.workspaces.empty())
             holders.insert(holder);
     }
     const std::string& workspace = check.caller.workspace();
-    if (check.verdict == callers::CallerVerdict::admitted && check.caller.told_apart()) {
+    if (check.verdict == callers::CallerVerdict::admitted
+        && check.caller.workspaces_enabled()) {
         if (!ever_held)
-            workers.breach(node + " admits the key " + key + " of nobody");
+            workers.note_violation(node + " admits the key " + key + " of nobody");
         else if (holders.count(workspace) == 0)
-            workers.breach(node + " takes the key " + key + " for one of " + workspace);
+            workers.note_violation(node + " takes the key " + key + " for one of "
+                                   + workspace);
     }
     if (check.verdict == callers::CallerVerdict::denied && holders.count("") == 0)
-        workers.breach(node + " denies the key " + key + ", which is there");
+        workers.note_violation(node + " denies the key " + key + ", which is there");
 }
 
-void Cell::pry(const std::string& id, const std::string& key)
+void Cell::attempt_foreign_access(const std::string& id, const std::string& key)
 {
     NodeProcess* process = any_running();
     // An id that nobody has handed in yet would become the other's.
@@ -147,7 +149,7 @@
         return;
     const ClientJob& job = m_jobs[id];
     const auto caller = admit(name_of(*process), *process, job.queue, key);
-    if (!caller || !caller->told_apart() || caller->workspace() == job.workspace
+    if (!caller || !caller->workspaces_enabled() || caller->workspace() == job.workspace
         || job.workspace.empty())
         return;
     const auto status_right = [](ClientStatus status) {
@@ -157,21 +159,21 @@
         id, world.now(), client_limit,
         [this, id, status_right](ClientStatus status, jobs::JobState) {
             if (!status_right(status))
-                workers.breach("another workspace is told of " + id);
+                workers.note_violation("another workspace is told of " + id);
         },
         *caller);
     process->node->cancel(
         id, world.now(), client_limit,
         [this, id, status_right](ClientStatus status) {
             if (!status_right(status))
-                workers.breach("another workspace cancels " + id);
+                workers.note_violation("another workspace cancels " + id);
         },
         *caller);
     process->node->submit(
         job.queue, id, job.spec, world.now(), client_limit,
         [this, id](ClientStatus status) {
             if (status == ClientStatus::ok && m_jobs[id].accepted)
-                workers.breach("another workspace hands in " + id);
+                workers.note_violation("another workspace hands in " + id);
         },
         *caller);
 }
--- a/src/emulator.lib/cell_configuration.cpp
+++ b/src/emulator.lib/cell_configuration.cpp
@@ -28,16 +28,16 @@
 {
     store.configure(configuration);
     m_changes.push_back({ configuration.version, world.now(),
-                          m_changes.empty() ? std::vector<WorkspaceFacts>()
+                          m_changes.empty() ? std::vector<WorkspaceSetup>()
                                             : m_changes.back().workspaces });
 }
 
-void Cell::out_of_touch(Millis span)
+void Cell::note_contact_loss(Millis span)
 {
     m_core_trouble_until = std::max(m_core_trouble_until, world.now() + span);
 }
 
-void Cell::out_of_touch(const std::string& node, Millis span)
+void Cell::note_contact_loss(const std::string& node, Millis span)
 {
     Millis& until = m_node_trouble_until[node];
     until = std::max(until, world.now() + span);
--- a/src/emulator.lib/cell_liveness.cpp
+++ b/src/emulator.lib/cell_liveness.cpp
@@ -25,7 +25,7 @@
 
 } // namespace
 
-void Cell::disturbed(Millis span, Millis settles_in)
+void Cell::note_disturbance(Millis span, Millis settles_in)
 {
     const Millis until = world.now() + span;
     m_trouble_until = std::max(m_trouble_until, until);
@@ -43,7 +43,7 @@
     const bool calm = world.now() - m_disturbed_until >= calm_before;
     for (auto& [id, job] : m_jobs) {
         if (!calm)
-            job.stands_since = Millis(0);
+            job.stalled_since = Millis(0);
         else
             look_at_job(id, job);
         look_at_canceled(id, job);
@@ -52,7 +52,7 @@
 
 void Cell::look_at_canceled(const std::string& id, ClientJob& job)
 {
-    if (!job.canceled || !workers.runs_any(id))
+    if (!job.canceled || !workers.has_running_task(id))
         return;
     const Millis calm_since = m_trouble_until + contact_time;
     // The times don't add up: the later of both moments counts.
@@ -69,32 +69,33 @@
 void Cell::look_at_job(const std::string& id, ClientJob& job)
 {
     const bool owed
-        = job.accepted && !job.cancel_asked && !is_spent(id, job) && !has_crashers(job);
-    if (!owed || !workers.stands(id, int(job.facts.size()))) {
-        job.stands_since = Millis(0);
+        = job.accepted && !job.cancel_requested && !is_spent(id, job) && !has_crashers(job);
+    if (!owed || !workers.is_stalled(id, int(job.facts.size()))) {
+        job.stalled_since = Millis(0);
         return;
     }
-    if (job.stands_since == Millis(0))
-        job.stands_since = world.now();
-    if (world.now() - job.stands_since < longest_stand)
+    if (job.stalled_since == Millis(0))
+        job.stalled_since = world.now();
+    if (world.now() - job.stalled_since < longest_stand)
         return;
     m_standing.push_back(std::to_string(world.now().count()) + ": " + id
                          + " could run and doesn't");
-    job.stands_since = world.now() + Millis(1000000); // Told once.
+    job.stalled_since = world.now() + Millis(1000000); // Told once.
 }
 
 // A job that crashes workers may wait: it earns nothing.
 bool Cell::has_crashers(const ClientJob& job)
 {
-    return std::any_of(job.facts.begin(), job.facts.end(),
-                       [](const TaskFacts& facts) { return facts.crashers > 0; });
+    return std::any_of(job.facts.begin(), job.facts.end(), [](const StepModel& facts) {
+        return facts.crashing_task_count > 0;
+    });
 }
 
 bool Cell::is_spent(const std::string& id, const ClientJob& job) const
 {
     for (size_t step = 0; step < job.facts.size(); ++step) {
         for (int i = 0; i < job.facts[step].count; ++i) {
-            if (workers.spent({ id, 0, int(step), i }))
+            if (workers.may_be_given_up({ id, 0, int(step), i }))
                 return true;
         }
     }
@@ -104,12 +105,12 @@
 void Cell::check_lasting(const std::string& id, const ClientJob& job,
                          std::vector<std::string>& wrong) const
 {
-    if (job.cancel_asked)
+    if (job.cancel_requested)
         return;
     for (size_t step = 0; step < job.facts.size(); ++step) {
         for (int i = 0; job.facts[step].lasting && i < job.facts[step].count; ++i) {
             const jobs::TaskId task { id, 0, int(step), i };
-            if (!workers.runs(task))
+            if (!workers.is_running(task))
                 wrong.push_back(task.to_string() + " lasts and doesn't run");
         }
     }
--- a/src/emulator.lib/node_process.h
+++ b/src/emulator.lib/node_process.h
@@ -7,7 +7,7 @@
 #pragma once
 
 #include <pathport/emulator/cell.h>
-#include <pathport/emulator/kept_connections.h>
+#include <pathport/emulator/pooled_connections.h>
 
 #include <map>
 #include <memory>
@@ -29,10 +29,10 @@
               jobs::PeerReply done) override;
 
     /// The connections to all peers go silent, `kept` idle ones each.
-    void silence(int kept)
+    void blackhole_connections(int kept)
     {
         for (auto& [address, connections] : m_connections)
-            connections.silence(kept);
+            connections.blackhole(kept);
     }
 
 private:
@@ -47,7 +47,7 @@
     Cell& m_cell;
     ProcessLoop& m_loop;
     std::string m_node;
-    std::map<std::string, KeptConnections> m_connections; ///< By address.
+    std::map<std::string, PooledConnections> m_connections; ///< By address.
 };
 
 /// One life of a node.
--- a/src/emulator.lib/store.cpp
+++ b/src/emulator.lib/store.cpp
@@ -78,10 +78,10 @@
     StoreResult result = with_status(StoreStatus::ok);
     result.version = m_version;
     result.clock_ms = m_world.now().count();
-    auto row = m_rows.lower_bound({ range.table, range.part, range.from });
+    auto row = m_rows.lower_bound({ range.table, range.partition, range.from });
     for (; row != m_rows.end(); ++row) {
         const auto& [table, part, name] = row->first;
-        if (table != range.table || part != range.part
+        if (table != range.table || part != range.partition
             || (!range.to.empty() && name >= range.to))
             break;
         if (result.rows.size() == size_t(range.limit)) {
@@ -127,8 +127,8 @@
 
 Millis Store::latency()
 {
-    const auto spread = static_cast<int64_t>(m_world.below(latency_spread_ms));
-    return Millis((usual_latency_ms + spread) * trouble.slow);
+    const auto spread = static_cast<int64_t>(m_world.random_below(latency_spread_ms));
+    return Millis((usual_latency_ms + spread) * injected.latency_factor);
 }
 
 StorePort::StorePort(Store& store, ProcessLoop& loop, std::string node)
@@ -140,10 +140,10 @@
 
 StorePort::Reach StorePort::reach() const
 {
-    const StoreTrouble& trouble = m_store.trouble;
-    if (trouble.silent || trouble.cut_nodes.count(m_node) > 0)
+    const InjectedStoreFaults& trouble = m_store.injected;
+    if (trouble.unresponsive || trouble.partitioned_nodes.count(m_node) > 0)
         return Reach::silent;
-    if (trouble.busy || trouble.refused_nodes.count(m_node) > 0)
+    if (trouble.refuse_calls || trouble.refused_nodes.count(m_node) > 0)
         return Reach::refused;
     return Reach::served;
 }
@@ -159,7 +159,7 @@
 
 bool StorePort::swallowed(Millis timeout, const jobs::StoreReply& done)
 {
-    if (!connections.swallows(m_loop.world().now(), Millis(0), timeout))
+    if (!connections.drops_call(m_loop.world().now(), Millis(0), timeout))
         return false;
     answer(timeout, with_status(StoreStatus::unknown), done);
     return true;
@@ -190,7 +190,7 @@
 
 bool StorePort::loses_answer()
 {
-    const double share = m_store.trouble.lose_reads;
+    const double share = m_store.injected.lost_read_replies;
     return share > 0 && reach() == Reach::served && m_loop.world().chance(share);
 }
 
@@ -217,9 +217,10 @@
     Store& store = m_store;
     if (swallowed(timeout, done))
         return;
-    if (reach() == Reach::served && world.chance(store.trouble.lose)) {
-        const Millis when = store.trouble.late ? Millis(1000 + int64_t(world.below(5000)))
-                                               : store.latency();
+    if (reach() == Reach::served && world.chance(store.injected.lost_write_replies)) {
+        const Millis when = store.injected.delay_lost_writes
+            ? Millis(1000 + int64_t(world.random_below(5000)))
+            : store.latency();
         world.after(when, [&store, write] { store.write_now(write); });
         answer(timeout, with_status(StoreStatus::unknown), done);
         return;
@@ -294,7 +295,7 @@
     const Millis now = m_loop.now();
     const Watch watch { version, wait, now + wait + watch_margin, connections.generation(),
                         std::move(done) };
-    if (connections.swallows(now, wait, wait + watch_margin) || reach() == Reach::silent
+    if (connections.drops_call(now, wait, wait + watch_margin) || reach() == Reach::silent
         || loses_answer())
         give_up(watch);
     else
--- a/src/emulator.lib/virtual_loop.cpp
+++ b/src/emulator.lib/virtual_loop.cpp
@@ -29,14 +29,14 @@
     m_now = end;
 }
 
-uint64_t World::below(uint64_t bound)
+uint64_t World::random_below(uint64_t bound)
 {
     return m_generator() % bound;
 }
 
 bool World::chance(double share)
 {
-    return double(below(1000000)) < share * 1000000;
+    return double(random_below(1000000)) < share * 1000000;
 }
 
 ProcessLoop::ProcessLoop(World& world)
@@ -101,7 +101,7 @@
 {
     if (!*m_alive)
         return;
-    if (!frozen() && m_cost.is_free() && m_ready.empty()) {
+    if (!frozen() && m_cost.is_zero() && m_ready.empty()) {
         work();
         return;
     }
--- a/src/emulator.lib/worker_bounds.cpp
+++ b/src/emulator.lib/worker_bounds.cpp
@@ -32,7 +32,7 @@
 
 } // namespace
 
-void Workers::owned_by(const std::string& job, const std::string& workspace)
+void Workers::set_owner(const std::string& job, const std::string& workspace)
 {
     m_owners[job] = workspace;
 }
@@ -70,8 +70,8 @@
         || exceeds(running.memory_mb, bound.memory_mb, need.memory_mb)
         || exceeds(running.accelerators, bound.accelerators, need.accelerators);
     if (over)
-        breach("over the bound " + text_of(bound) + " of " + workspace + " by "
-               + started.to_string() + ", which has " + text_of(running));
+        note_violation("over the bound " + text_of(bound) + " of " + workspace + " by "
+                       + started.to_string() + ", which has " + text_of(running));
 }
 
 bool Workers::holds_half_its_bound(const std::string& job) const
--- a/src/emulator.lib/worker_crashes.cpp
+++ b/src/emulator.lib/worker_crashes.cpp
@@ -31,7 +31,7 @@
 
 bool Workers::crashes(const jobs::TaskId& task) const
 {
-    return task.index < facts(task).crashers;
+    return task.index < facts(task).crashing_task_count;
 }
 
 void Workers::crash_under_tasks()
@@ -44,7 +44,7 @@
             = std::find_if(life.running.begin(), life.running.end(), [&](const auto& run) {
                   const Millis runs_for = m_world.now() - run.second.begun;
                   return crashes(run.second.task)
-                      && runs_for >= Millis(facts(run.second.task).crash_ms);
+                      && runs_for >= Millis(facts(run.second.task).crash_after_ms);
               });
         if (cause != life.running.end())
             falling.emplace_back(id, cause->second.task);
@@ -56,30 +56,30 @@
 // All that runs there dies with it, and with that the gangs of which it was a part.
 void Workers::fall(Life& life, const jobs::TaskId& cause)
 {
-    const TaskFacts& known = facts(cause);
+    const StepModel& known = facts(cause);
     ++m_history[cause.to_string()].crashed;
     if (on_crash)
-        on_crash(known.crash_pause);
+        on_crash(known.crash_downtime);
     const std::map<std::string, Run> lost = life.running;
     lose_runs(life);
     for (const auto& [name, run] : lost)
-        break_gang(run, jobs::EndKind::broken);
+        break_gang(run, jobs::EndKind::gang_broken);
     if (known.crash_keeps_id) {
-        Comeback how;
-        how.pause = known.crash_pause;
+        RestartOptions how;
+        how.downtime = known.crash_downtime;
         how.listed_after = Millis(600);
-        how.silent = known.crash_silent;
+        how.unresponsive = known.crash_unresponsive;
         how.capacity = room_of(life);
         restart(life.info.id, how);
         return;
     }
     life.up = false;
     life.fallen = true;
-    life.down_silent = known.crash_silent;
+    life.down_silent = known.crash_unresponsive;
     life.down_since = m_world.now();
     jobs::WorkerInfo info = life.info;
     info.capacity = room_of(life);
-    m_world.after(known.crash_pause, [this, info] {
+    m_world.after(known.crash_downtime, [this, info] {
         m_lives[add(info.service, info.capacity)].info.address = info.address;
     });
 }
@@ -108,8 +108,8 @@
     if (history.crashed < crashes_in_all)
         return;
     if (++history.started_after_crashes == starts_beyond)
-        breach("started three times more after it had crashed three workers: "
-               + task.to_string());
+        note_violation("started three times more after it had crashed three workers: "
+                       + task.to_string());
 }
 
 void Workers::resize(const std::string& id, Resources room)
@@ -120,9 +120,9 @@
     const bool counts_on = m_world.now() < life->room_before_until;
     life->room_before
         = counts_on ? larger(life->room_before, room_of(*life)) : room_of(*life);
-    life->room_before_until = m_world.now() + contact_time + beat_interval;
+    life->room_before_until = m_world.now() + contact_time + heartbeat_interval;
     life->room = room;
-    m_world.after(beat_interval, [this, id, born = life->born] {
+    m_world.after(heartbeat_interval, [this, id, born = life->born] {
         Life* resized = find(id);
         if (resized->born == born && resized->room)
             resized->info.capacity = *resized->room;
--- a/src/emulator.lib/worker_faults.cpp
+++ b/src/emulator.lib/worker_faults.cpp
@@ -30,14 +30,15 @@
     return stable_hash(step + worker) % 10 < allowed_tenths;
 }
 
-Millis Workers::time_of_advice(const std::string& step) const
+Millis Workers::advice_latency(const std::string& step) const
 {
     const auto task = jobs::TaskId::parse(step + ".0");
-    const int64_t own_time = task ? facts(*task).advice_ms : 0;
-    return own_time > 0 ? Millis(own_time) : advice_time;
+    const int64_t own_time = task ? facts(*task).advice_latency_ms : 0;
+    return own_time > 0 ? Millis(own_time) : default_advice_latency;
 }
 
-void Workers::afflict(const std::string& id, WorkerFault fault, Millis span, double share)
+void Workers::inject_fault(const std::string& id, WorkerFault fault, Millis span,
+                           double share)
 {
     Life* life = find(id);
     if (life == nullptr)
@@ -46,7 +47,7 @@
     life->declined_share = share;
 }
 
-void Workers::leave(const std::string& id, Millis span)
+void Workers::stop_unannounced(const std::string& id, Millis span)
 {
     Life* life = find(id);
     if (life == nullptr)
@@ -78,8 +79,8 @@
 // What runs on a worker that is slow or stands still ends later.
 void Workers::suffer(Life& life)
 {
-    const bool still = has(life, WorkerFault::stands_still);
-    const bool slow = has(life, WorkerFault::slow);
+    const bool still = has(life, WorkerFault::stalls_tasks);
+    const bool slow = has(life, WorkerFault::slows_tasks);
     for (auto& [name, run] : life.running) {
         if (still || slow) {
             const Millis lost(still ? step_interval.count() : step_interval.count() / 2);
@@ -112,7 +113,7 @@
 
 bool Workers::ticket_good(const Life& life, const jobs::StartOrder& order) const
 {
-    if (trouble.ticket_life == Millis(0) || !facts(order.task).advised)
+    if (injected.ticket_validity == Millis(0) || !facts(order.task).advised)
         return true;
     if (order.ticket.empty())
         return false;
@@ -123,16 +124,16 @@
 void Workers::check_place(const Life& life, const jobs::StartOrder& order)
 {
     const std::string name = order.task.to_string();
-    const TaskFacts& known = facts(order.task);
+    const StepModel& known = facts(order.task);
     if (known.advised && !is_allowed(step_name(order.task), life.info.id))
-        breach("started on a worker that may not run it: " + name);
+        note_violation("started on a worker that may not run it: " + name);
     int alike = 0;
     for (const auto& [other, run] : life.running)
         alike += step_name(run.task) == step_name(order.task) ? 1 : 0;
     if (known.max_per_worker > 0 && alike >= known.max_per_worker)
-        breach("too many of its step on " + life.info.id + ": " + name);
-    if (trouble.ticket_life > Millis(0) && life.running.count(name) > 0)
-        breach("two runs at once on " + life.info.id + ": " + name);
+        note_violation("too many of its step on " + life.info.id + ": " + name);
+    if (injected.ticket_validity > Millis(0) && life.running.count(name) > 0)
+        note_violation("two runs at once on " + life.info.id + ": " + name);
 }
 
 } // namespace pathport::emulator
--- a/src/emulator.lib/worker_liveness.cpp
+++ b/src/emulator.lib/worker_liveness.cpp
@@ -21,7 +21,7 @@
 
 } // namespace
 
-bool Workers::runs(const jobs::TaskId& task) const
+bool Workers::is_running(const jobs::TaskId& task) const
 {
     const std::string name = task.to_string();
     return std::any_of(m_lives.begin(), m_lives.end(), [&](const auto& entry) {
@@ -29,7 +29,7 @@
     });
 }
 
-bool Workers::runs_any(const std::string& job) const
+bool Workers::has_running_task(const std::string& job) const
 {
     return std::any_of(m_lives.begin(), m_lives.end(), [&](const auto& entry) {
         const Life& life = entry.second;
@@ -39,7 +39,7 @@
     });
 }
 
-bool Workers::spent(const jobs::TaskId& task) const
+bool Workers::may_be_given_up(const jobs::TaskId& task) const
 {
     jobs::TaskId counted = task;
     if (facts(task).gang)
@@ -50,17 +50,17 @@
     constexpr int enough = 2;
     const auto own = m_history.find(task.to_string());
     const bool lost
-        = two_losses_suffice && own != m_history.end() && own->second.lost >= enough;
+        = give_up_after_two_losses && own != m_history.end() && own->second.lost >= enough;
     return lost || found->second.crashed >= enough
         || (!facts(task).lasting && found->second.failed >= facts(task).max_failures);
 }
 
 bool Workers::turn_has_come(const std::string& job, int step) const
 {
-    const TaskFacts& known = facts({ job, 0, step, 0 });
+    const StepModel& known = facts({ job, 0, step, 0 });
     const bool open = known.lasting || !all_done(job, step, known.count, known.gang);
     return open && std::all_of(known.after.begin(), known.after.end(), [&](int earlier) {
-               const TaskFacts& before = facts({ job, 0, earlier, 0 });
+               const StepModel& before = facts({ job, 0, earlier, 0 });
                return all_done(job, earlier, before.count, before.gang);
            });
 }
@@ -68,7 +68,7 @@
 // How many tasks of the step the workers that may run it have room for.
 int64_t Workers::rooms_for(const std::string& job, int step) const
 {
-    const TaskFacts& known = facts({ job, 0, step, 0 });
+    const StepModel& known = facts({ job, 0, step, 0 });
     const std::string name = job + ".0." + std::to_string(step);
     int64_t sum = 0;
     for (const auto& [id, life] : m_lives) {
@@ -99,12 +99,12 @@
     return 2 * taken < all;
 }
 
-bool Workers::stands(const std::string& job, int steps) const
+bool Workers::is_stalled(const std::string& job, int steps) const
 {
-    if (!half_free() || runs_any(job) || holds_half_its_bound(job))
+    if (!half_free() || has_running_task(job) || holds_half_its_bound(job))
         return false;
     for (int step = 0; step < steps; ++step) {
-        const TaskFacts& known = facts({ job, 0, step, 0 });
+        const StepModel& known = facts({ job, 0, step, 0 });
         const int64_t wanted = int64_t(2) * (known.gang ? known.count : 1);
         if (turn_has_come(job, step) && rooms_for(job, step) >= wanted)
             return true;
--- a/src/emulator.lib/worker_port.cpp
+++ b/src/emulator.lib/worker_port.cpp
@@ -39,26 +39,27 @@
 {
     if (!life.up && (life.returns || (life.fallen && !m_workers.address_taken(life))))
         return life.down_silent ? OrderStatus::unknown : OrderStatus::refused;
-    if (!life.up && m_workers.trouble.dead_are_silent && !m_workers.address_taken(life))
+    if (!life.up && m_workers.injected.dead_are_unresponsive
+        && !m_workers.address_taken(life))
         return life.listed ? OrderStatus::unknown : OrderStatus::unreachable;
     if (life.up && m_workers.declines(life, is_start))
         return OrderStatus::declined;
     if (is_start && m_workers.has(life, WorkerFault::refuses_starts))
         return OrderStatus::unreachable;
-    if (is_start && m_workers.has(life, WorkerFault::swallows_starts))
+    if (is_start && m_workers.has(life, WorkerFault::drops_starts))
         return OrderStatus::unknown;
     return std::nullopt;
 }
 
 bool WorkerPort::carried_out_late()
 {
-    const double share = m_workers.trouble.late;
+    const double share = m_workers.injected.delayed_share;
     return share > 0 && m_loop.world().chance(share);
 }
 
 Millis WorkerPort::lateness()
 {
-    return Millis(2000 + int64_t(m_loop.world().below(10000)));
+    return Millis(2000 + int64_t(m_loop.world().random_below(10000)));
 }
 
 // What a worker holds back ends with its process, and so do the connections that brought
@@ -83,8 +84,8 @@
 {
     World& world = m_loop.world();
     const auto* life = m_workers.find(worker);
-    const Millis way(1 + int64_t(world.below(3)));
-    if (m_connections[worker].swallows(world.now(), Millis(0), timeout)) {
+    const Millis way(1 + int64_t(world.random_below(3)));
+    if (m_connections[worker].drops_call(world.now(), Millis(0), timeout)) {
         deliver(timeout, [done] { done(OrderAnswer()); });
         return;
     }
@@ -106,7 +107,7 @@
         deliver(timeout, [done] { done(OrderAnswer()); });
         return;
     }
-    if (carried_out_late() || world.chance(m_workers.trouble.unanswered)) {
+    if (carried_out_late() || world.chance(m_workers.injected.unanswered_share)) {
         carry_out_late(worker, work);
         deliver(timeout, [done] { done(OrderAnswer()); });
         return;
@@ -122,7 +123,7 @@
                        Millis timeout, std::function<void(OrderAnswer)> done)
 {
     Workers& workers = m_workers;
-    const std::string name = jobs::WorkerLife::parse(worker.id).name;
+    const std::string name = jobs::WorkerIncarnation::parse(worker.id).name;
     order(
         name, timeout, true,
         [&workers, name, start] { return workers.start_now(name, start); }, done);
@@ -132,38 +133,38 @@
                       Millis timeout, std::function<void(OrderAnswer)> done)
 {
     Workers& workers = m_workers;
-    const std::string name = jobs::WorkerLife::parse(worker.id).name;
+    const std::string name = jobs::WorkerIncarnation::parse(worker.id).name;
     order(
         name, timeout, false,
         [&workers, name, stop] { return workers.stop_now(name, stop); }, done);
 }
 
-void WorkerPort::pace(const jobs::WorkerInfo&, const jobs::RunOrder&, Millis,
-                      std::function<void(OrderAnswer)> done)
+void WorkerPort::set_speed(const jobs::WorkerInfo&, const jobs::RunOrder&, Millis,
+                           std::function<void(OrderAnswer)> done)
 {
     deliver(Millis(2), [done] { done(OrderAnswer { OrderStatus::accepted, 0 }); });
 }
 
-void WorkerPort::look(
-    const jobs::WorkerInfo& worker, const jobs::LookOrder& order, Millis timeout,
-    std::function<void(OrderStatus, std::optional<jobs::LookReport>)> done)
+void WorkerPort::poll(
+    const jobs::WorkerInfo& worker, const jobs::PollRequest& order, Millis timeout,
+    std::function<void(OrderStatus, std::optional<jobs::PollReport>)> done)
 {
-    const std::string name = jobs::WorkerLife::parse(worker.id).name;
+    const std::string name = jobs::WorkerIncarnation::parse(worker.id).name;
     const auto* life = m_workers.find(name);
-    jobs::LookOrder look = order;
+    jobs::PollRequest look = order;
     // Which ends were seen goes only over a connection to the life that listed them.
     const auto answered = m_answered.find(name);
     if (answered == m_answered.end())
-        look.seen_through = 0;
-    const Millis bound_to = look.seen_through > 0 ? answered->second : Millis(0);
+        look.acked_through = 0;
+    const Millis bound_to = look.acked_through > 0 ? answered->second : Millis(0);
     if (life != nullptr && life->up && bound_to > Millis(0) && bound_to != life->born) {
         m_answered.erase(name);
         deliver(Millis(2), [done] { done(OrderStatus::unknown, std::nullopt); });
         return;
     }
-    KeptConnections& connections = m_connections[name];
+    PooledConnections& connections = m_connections[name];
     const Millis gives_up = m_loop.world().now() + timeout;
-    if (connections.swallows(m_loop.world().now(), look.wait, timeout)) {
+    if (connections.drops_call(m_loop.world().now(), look.wait, timeout)) {
         deliver(timeout, [done] { done(OrderStatus::unknown, std::nullopt); });
         return;
     }
@@ -183,7 +184,7 @@
                              [&workers = m_workers, name, look, born = life->born] {
                                  if (workers.find(name)->born != born)
                                      return;
-                                 jobs::LookReport unread;
+                                 jobs::PollReport unread;
                                  workers.look_now(name, look, unread);
                              });
         deliver(timeout, [done] { done(OrderStatus::unknown, std::nullopt); });
@@ -192,7 +193,7 @@
     m_loop.world().after(Millis(1),
                          [this, life = m_loop.life(), name, id = worker.id, look, done,
                           gives_up, bound_to, generation = connections.generation()] {
-                             jobs::LookReport report;
+                             jobs::PollReport report;
                              OrderStatus status = OrderStatus::unknown;
                              if (bound_to == Millis(0)
                                  || m_workers.find(name)->born == bound_to)
@@ -208,13 +209,13 @@
                              }
                              if (status == OrderStatus::accepted
                                  && !Workers::is_meant(id, *m_workers.find(name)))
-                                 status = OrderStatus::reborn;
+                                 status = OrderStatus::replaced;
                              if (status == OrderStatus::accepted)
                                  m_answered[name] = m_workers.find(name)->born;
                              deliver(Millis(1), [done, status, report] {
                                  done(status,
                                       status == OrderStatus::accepted
-                                          ? std::optional<jobs::LookReport>(report)
+                                          ? std::optional<jobs::PollReport>(report)
                                           : std::nullopt);
                              });
                          });
@@ -249,13 +250,13 @@
             return;
         }
         // The waiting look shows what is there now, whoever has raised the fence since.
-        jobs::LookOrder present = look.order;
+        jobs::PollRequest present = look.order;
         present.fence = target->fence;
-        present.hold_until = 0;
-        jobs::LookReport report;
+        present.lease_until = 0;
+        jobs::PollReport report;
         m_workers.look_now(look.name, present, report);
         if (!Workers::is_meant(look.worker, *target)) {
-            deliver(Millis(1), [done] { done(OrderStatus::reborn, std::nullopt); });
+            deliver(Millis(1), [done] { done(OrderStatus::replaced, std::nullopt); });
             return;
         }
         m_answered[look.name] = target->born;
@@ -263,11 +264,11 @@
     });
 }
 
-void WorkerPort::silence(int kept)
+void WorkerPort::blackhole_connections(int kept)
 {
     for (auto& [worker, connections] : m_connections)
-        connections.silence(kept);
-    m_advisor_connections.silence(kept);
+        connections.blackhole(kept);
+    m_advisor_connections.blackhole(kept);
 }
 
 // A hash decides which workers may run a step, so the answer never changes.
@@ -275,18 +276,18 @@
     const std::string& step, const std::vector<std::string>& workers, Millis timeout,
     std::function<void(std::optional<std::vector<jobs::WorkerTicket>>)> done)
 {
-    if (m_advisor_connections.swallows(m_loop.world().now(), timeout, timeout)) {
+    if (m_advisor_connections.drops_call(m_loop.world().now(), timeout, timeout)) {
         deliver(timeout, [done] { done(std::nullopt); });
         return;
     }
     std::vector<jobs::WorkerTicket> tickets;
     ++m_workers.m_questions;
     const Millis now = m_loop.world().now();
-    m_advisor_free = std::max(now, m_advisor_free) + m_workers.time_of_advice(step)
+    m_advisor_free = std::max(now, m_advisor_free) + m_workers.advice_latency(step)
         + Millis(int64_t(workers.size()));
-    const Millis until = m_advisor_free + m_workers.trouble.ticket_life;
+    const Millis until = m_advisor_free + m_workers.injected.ticket_validity;
     for (const std::string& worker : workers) {
-        const std::string name = jobs::WorkerLife::parse(worker).name;
+        const std::string name = jobs::WorkerIncarnation::parse(worker).name;
         const auto* life = m_workers.find(name);
         if (life != nullptr && m_workers.is_allowed(step, name))
             tickets.push_back({ worker, Workers::ticket_for(*life, until) });
--- a/src/emulator.lib/worker_lives.cpp
+++ b/src/emulator.lib/worker_restarts.cpp
@@ -10,20 +10,20 @@
 
 using jobs::OrderStatus;
 
-void Workers::restart(const std::string& id, const Comeback& how)
+void Workers::restart(const std::string& id, const RestartOptions& how)
 {
     Life* life = find(id);
     if (life == nullptr || !life->up)
         return;
     life->up = false;
     life->returns = true;
-    life->down_silent = how.silent;
+    life->down_silent = how.unresponsive;
     life->down_since = m_world.now();
     lose_runs(*life);
-    m_world.after(how.pause, [this, id, how] { come_back(id, how); });
+    m_world.after(how.downtime, [this, id, how] { come_back(id, how); });
 }
 
-void Workers::come_back(const std::string& id, const Comeback& how)
+void Workers::come_back(const std::string& id, const RestartOptions& how)
 {
     const Life& before = *find(id);
     Life life;
@@ -32,7 +32,7 @@
     life.info.remaining_ms = 0;
     life.info.capacity = how.capacity.value_or(before.info.capacity);
     life.born = m_world.now();
-    life.clock_ahead = how.clock_ms - life.born.count();
+    life.clock_ahead = how.start_clock_ms - life.born.count();
     life.listed_from = life.born + how.listed_after;
     life.down_since = before.down_since;
     life.entry_before = before.info;
@@ -50,13 +50,13 @@
 
 std::string Workers::life_id(const Life& life)
 {
-    return jobs::WorkerLife { life.info.id, life.born.count() }.id();
+    return jobs::WorkerIncarnation { life.info.id, life.born.count() }.id();
 }
 
 // Returns whether `id` names this life; one that tells no birth is taken for any.
 bool Workers::is_meant(const std::string& id, const Life& life)
 {
-    const int64_t born_ms = jobs::WorkerLife::parse(id).born_ms;
+    const int64_t born_ms = jobs::WorkerIncarnation::parse(id).started_ms;
     return born_ms == 0 || life.born == Millis(0) || born_ms == life.born.count();
 }
 
@@ -68,7 +68,7 @@
     entry.id = life_id(life);
     if (life.up && now >= life.listed_from)
         return entry;
-    const bool lingers = now < life.down_since + list_patience;
+    const bool lingers = now < life.down_since + list_retention;
     if (!lingers || (!life.up && !life.returns && !life.fallen))
         return std::nullopt;
     return life.up ? life.entry_before : entry;
@@ -78,7 +78,7 @@
 OrderStatus Workers::status_when_down(const Life& life) const
 {
     const bool nobody_there = life.returns || (life.fallen && !address_taken(life));
-    return nobody_there ? OrderStatus::unknown : OrderStatus::other_life;
+    return nobody_there ? OrderStatus::unknown : OrderStatus::wrong_incarnation;
 }
 
 } // namespace pathport::emulator
--- a/src/emulator.lib/workers.cpp
+++ b/src/emulator.lib/workers.cpp
@@ -57,7 +57,7 @@
     });
 }
 
-void Workers::cut(const std::string& id, Millis span, const std::string& node)
+void Workers::partition(const std::string& id, Millis span, const std::string& node)
 {
     Life* life = find(id);
     if (life == nullptr)
@@ -68,10 +68,10 @@
         life->cut_nodes[node] = m_world.now() + span;
 }
 
-void Workers::vanish(const std::string& id)
+void Workers::partition_for_good(const std::string& id)
 {
-    cut(id, for_good);
-    m_world.after(list_patience, [this, id, born = find(id)->born] {
+    partition(id, for_good);
+    m_world.after(list_retention, [this, id, born = find(id)->born] {
         if (find(id)->born == born)
             find(id)->listed = false;
     });
@@ -100,19 +100,19 @@
     });
 }
 
-void Workers::describe(const std::string& job, int step, const TaskFacts& facts)
+void Workers::define_step(const std::string& job, int step, const StepModel& facts)
 {
     m_facts[{ job, step }] = facts;
 }
 
-void Workers::canceled(const std::string& job)
+void Workers::note_canceled(const std::string& job)
 {
     m_canceled.emplace(job, m_world.now());
 }
 
-const TaskFacts& Workers::facts(const jobs::TaskId& task) const
+const StepModel& Workers::facts(const jobs::TaskId& task) const
 {
-    static const TaskFacts none;
+    static const StepModel none;
     const auto found = m_facts.find({ task.job, task.step });
     return found == m_facts.end() ? none : found->second;
 }
@@ -161,7 +161,7 @@
         && (cut == life.cut_nodes.end() || m_world.now() >= cut->second);
 }
 
-void Workers::breach(const std::string& text)
+void Workers::note_violation(const std::string& text)
 {
     m_breaches.push_back(std::to_string(m_world.now().count()) + ": " + text);
 }
@@ -193,7 +193,8 @@
     OrderAnswer answer;
     Life* life = find(id);
     if (life == nullptr || !life->up) {
-        answer.status = life == nullptr ? OrderStatus::other_life : status_when_down(*life);
+        answer.status
+            = life == nullptr ? OrderStatus::wrong_incarnation : status_when_down(*life);
         return answer;
     }
     answer.clock_ms = clock_of(*life);
@@ -207,7 +208,7 @@
     life->fence = order.fence;
     if (running != life->running.end() && running->second.run == order.run)
         return answer;
-    if (order.hold_until <= answer.clock_ms) {
+    if (order.lease_until <= answer.clock_ms) {
         answer.status = OrderStatus::too_late;
         return answer;
     }
@@ -215,7 +216,7 @@
         answer.status = OrderStatus::bad_ticket;
         return answer;
     }
-    extend(*life, order.hold_until);
+    extend(*life, order.lease_until);
     if (life->last_run[name] >= order.run
         || (running != life->running.end() && running->second.run > order.run)) {
         answer.status = OrderStatus::old_run;
@@ -230,7 +231,7 @@
     run.waits_since = m_world.now();
     run.begun = m_world.now();
     run.saved_at = m_world.now();
-    const TaskFacts& known = facts(order.task);
+    const StepModel& known = facts(order.task);
     if (known.saves_progress && !order.checkpoint.empty()) {
         run.checkpoint = order.checkpoint;
         run.restored_ms = std::stoll(order.checkpoint);
@@ -241,7 +242,8 @@
     if (known.gang)
         begin_gang(order.task, order.run);
     if (!fits(*life))
-        breach("over the room of " + id + " by " + name + ", which runs" + names_on(*life));
+        note_violation("over the room of " + id + " by " + name + ", which runs"
+                       + names_on(*life));
     check_bound(order.task);
     return answer;
 }
@@ -249,19 +251,20 @@
 void Workers::check_start(const Life& life, const jobs::StartOrder& order)
 {
     const std::string name = order.task.to_string();
-    const TaskFacts& known = facts(order.task);
+    const StepModel& known = facts(order.task);
     if (known.payload != order.payload)
-        breach("another payload for " + name);
+        note_violation("another payload for " + name);
     if (m_refused.count(order.task.job) > 0)
-        breach("started though refused: " + name);
+        note_violation("started though refused: " + name);
     const auto canceled = m_canceled.find(order.task.job);
     if (canceled != m_canceled.end() && m_world.now() - canceled->second > cancel_time)
-        breach("started though cancelled: " + name);
+        note_violation("started though cancelled: " + name);
     const bool drains = life.drains_since > Millis(0) && !m_carries_out_late;
-    if (drains && m_world.now() - life.drains_since > drain_time)
-        breach("started on " + life.info.id + " after it had announced its end: " + name);
+    if (drains && m_world.now() - life.drains_since > drain_deadline)
+        note_violation("started on " + life.info.id
+                       + " after it had announced its end: " + name);
     if (m_history[name].done_noted)
-        breach("started again after it was done: " + name);
+        note_violation("started again after it was done: " + name);
     check_crashes(order.task);
     TaskHistory& failures = failures_of(order.task);
     int failed = failures.failed_noted;
@@ -276,7 +279,7 @@
         }
     }
     if (!known.lasting && failures.failed_noted >= known.max_failures)
-        breach("started again after its last failure: " + name);
+        note_violation("started again after its last failure: " + name);
     if (!known.lasting && failed >= known.max_failures)
         failures.started_when_spent = true;
     for (const auto& [id, other] : m_lives) {
@@ -284,12 +287,12 @@
             continue;
         std::string text = "two runs at once: ";
         text.append(name).append(" on ").append(id).append(" and ").append(life.info.id);
-        breach(text);
+        note_violation(text);
     }
     for (const int earlier : known.after) {
-        const TaskFacts& before = m_facts[{ order.task.job, earlier }];
+        const StepModel& before = m_facts[{ order.task.job, earlier }];
         if (!all_done(order.task.job, earlier, before.count, before.gang))
-            breach("started before step " + std::to_string(earlier) + ": " + name);
+            note_violation("started before step " + std::to_string(earlier) + ": " + name);
     }
 }
 
@@ -311,14 +314,15 @@
         if (end.kind == EndKind::done && !facts(end.task).lasting) {
             m_history[name].done_noted = true;
             if (life.followed.count(end.number) > 0)
-                breach("started again after an end that was noted later: " + name);
+                note_violation("started again after an end that was noted later: " + name);
         }
         if (end.kind == EndKind::failed) {
             TaskHistory& failures = failures_of(end.task);
             ++failures.failed_noted;
             if (failures.started_when_spent
                 && failures.failed_noted >= facts(end.task).max_failures)
-                breach("started again after a last failure that was noted later: " + name);
+                note_violation("started again after a last failure that was noted later: "
+                               + name);
         }
     }
 }
@@ -339,8 +343,9 @@
     for (Run* member : members) {
         member->working = true;
         member->waits_since = m_world.now();
-        const TaskFacts& known = facts(task);
-        member->ends_at = m_world.now() + Millis(std::max(known.run_ms, known.slowest_ms));
+        const StepModel& known = facts(task);
+        member->ends_at
+            = m_world.now() + Millis(std::max(known.run_ms, known.slowest_member_ms));
     }
 }
 
@@ -349,7 +354,8 @@
     OrderAnswer answer;
     Life* life = find(id);
     if (life == nullptr || !life->up) {
-        answer.status = life == nullptr ? OrderStatus::other_life : status_when_down(*life);
+        answer.status
+            = life == nullptr ? OrderStatus::wrong_incarnation : status_when_down(*life);
         return answer;
     }
     answer.clock_ms = clock_of(*life);
@@ -370,18 +376,18 @@
     return answer;
 }
 
-OrderStatus Workers::look_now(const std::string& id, const jobs::LookOrder& order,
-                              jobs::LookReport& report)
+OrderStatus Workers::look_now(const std::string& id, const jobs::PollRequest& order,
+                              jobs::PollReport& report)
 {
     Life* life = find(id);
     if (life == nullptr || !life->up)
-        return life == nullptr ? OrderStatus::other_life : status_when_down(*life);
+        return life == nullptr ? OrderStatus::wrong_incarnation : status_when_down(*life);
     if (order.fence < life->fence)
         return OrderStatus::stale_fence;
     life->fence = order.fence;
-    if (order.hold_until > 0)
-        extend(*life, order.hold_until);
-    life->seen = std::max(life->seen, order.seen_through);
+    if (order.lease_until > 0)
+        extend(*life, order.lease_until);
+    life->seen = std::max(life->seen, order.acked_through);
     note_ends(*life);
     life->ended.erase(std::remove_if(life->ended.begin(), life->ended.end(),
                                      [&](const jobs::EndedTask& end) {
@@ -389,7 +395,7 @@
                                      }),
                       life->ended.end());
     report.clock_ms = clock_of(*life);
-    const size_t listed = std::min(life->ended.size(), jobs::most_listed_ends);
+    const size_t listed = std::min(life->ended.size(), jobs::max_listed_ends);
     report.ended.assign(life->ended.begin(), life->ended.begin() + std::ptrdiff_t(listed));
     for (const auto& [name, run] : life->running) {
         jobs::RunningTask running;
@@ -431,20 +437,21 @@
     suffer(life);
     std::vector<std::pair<std::string, EndKind>> ends;
     for (const auto& [name, run] : life.running) {
-        const TaskFacts& known = facts(run.task);
+        const StepModel& known = facts(run.task);
         if (lapsed)
             ends.emplace_back(name, EndKind::lapsed);
         else if (run.stop_at != Millis(0) && now >= run.stop_at)
             ends.emplace_back(name, EndKind::stopped);
         else if (!run.working && now - run.waits_since >= gang_time)
-            ends.emplace_back(name, EndKind::alone);
+            ends.emplace_back(name, EndKind::gang_not_formed);
         else if (run.working && has(life, WorkerFault::fails_tasks)
                  && now - run.begun >= fault_time)
             ends.emplace_back(name, EndKind::failed);
         else if (run.working && now >= run.ends_at && !known.lasting)
             ends.emplace_back(name,
-                              failures_of(run.task).failed < known.fails ? EndKind::failed
-                                                                         : EndKind::done);
+                              failures_of(run.task).failed < known.failing_runs
+                                  ? EndKind::failed
+                                  : EndKind::done);
     }
     for (const auto& [name, kind] : ends) {
         const auto still = life.running.find(name);
@@ -452,7 +459,7 @@
             continue; // It ended with another member of its gang.
         const Run run = still->second;
         end(life, name, kind);
-        break_gang(run, kind == EndKind::done ? EndKind::done : EndKind::broken);
+        break_gang(run, kind == EndKind::done ? EndKind::done : EndKind::gang_broken);
     }
 }
 
--- a/src/include/pathport/async_http.h
+++ b/src/include/pathport/async_http.h
@@ -37,7 +37,7 @@
 };
 
 /// The answer to one request.
-struct ServerAnswer {
+struct ServerResponse {
     int status = 200;
     std::string body;
     std::string content_type = "application/json";
@@ -58,7 +58,7 @@
 using HttpTrafficByPath = std::map<std::string, HttpTraffic>;
 
 /// Sends the answer; call it exactly once, on the loop's thread.
-using ServerReply = std::function<void(ServerAnswer)>;
+using ServerReply = std::function<void(ServerResponse)>;
 /// Handles one request; must not block.
 using ServerHandler = std::function<void(ServerRequest, ServerReply)>;
 
@@ -82,13 +82,13 @@
     /// Starts listening; returns false when the address can't be used.
     bool start();
     /// From now on requests hold all headers of this name.
-    void keep_header(const std::string& name);
+    void capture_header(const std::string& name);
     /// From now on each connection is closed after its next answer.
-    void close_after_answers();
+    void close_after_responses();
     /// Closes the listener; open connections end after their present answer.
     void drain();
     /// Returns the number of requests whose answer has not been sent.
-    size_t requests_under_way() const;
+    size_t requests_in_progress() const;
     /// Changes the limits of requests that come later.
     void set_limits(const ServerLimits& limits);
     /// Returns what all requests so far took.
@@ -118,11 +118,11 @@
     /// Goes in place of `body` over a connection that was open when the call of this number
     /// (CallOutcome) was sent: what only the process may have that answered it. Another one
     /// in its place has none of its connections.
-    std::string body_if_opened;
-    int64_t opened_by = 0; ///< Zero for none.
+    std::string reused_connection_body;
+    int64_t opened_before_call = 0; ///< Zero for none.
     Millis timeout { 1000 };
     /// Of `timeout`: the server may hold its answer back for so long.
-    Millis hold;
+    Millis max_response_delay;
     /// While bytes of the answer keep coming, `timeout` is for each silence between them
     /// (ClientLimits::longest_answer holds for the whole). Not for calls whose effect must
     /// not come late.
@@ -136,7 +136,7 @@
     std::string body;
     /// Of an answered call: its number among all calls that this client has sent and the
     /// connections that it has opened, from 1 on.
-    int64_t number = 0;
+    int64_t sequence = 0;
 };
 
 /// Limits of a client.
@@ -149,7 +149,7 @@
     Millis max_idle { 12000 };
     /// An answer that extends its call's time has to be there so long after it was due: the
     /// largest one that is read takes 7 s on a link of 10 Mbit/s.
-    Millis longest_answer { 10000 };
+    Millis max_response_time { 10000 };
 };
 
 /// A client with kept connections to any number of servers. Once a call on a kept
@@ -165,14 +165,14 @@
     /// Sends `call`; `done` is called exactly once, later, on the loop's thread.
     void send(ClientCall call, std::function<void(CallOutcome)> done);
     /// Closes kept connections to `server`.
-    void forget(const Address& server);
+    void close_idle_connections(const Address& server);
     /// Returns the number of connections, kept ones and those that carry a call.
     size_t open_connections() const;
     /// Returns what all calls so far took.
     const HttpTrafficByPath& traffic() const;
     /// Returns whether an answer at `path` is under way: a call that extends its time is
     /// open there, and bytes for it came a moment ago.
-    bool receiving(const std::string& path) const;
+    bool is_receiving(const std::string& path) const;
 
 private:
     class Impl;
--- a/src/include/pathport/callers/caller.h
+++ b/src/include/pathport/callers/caller.h
@@ -23,7 +23,7 @@
     static Caller of(std::string workspace) { return Caller(std::move(workspace)); }
 
     /// Returns whether callers are told apart.
-    bool told_apart() const { return m_workspace.has_value(); }
+    bool workspaces_enabled() const { return m_workspace.has_value(); }
     /// Returns the workspace, or "" when the caller has none.
     const std::string& workspace() const;
     /// Returns whether the caller may learn of a job of that workspace. A job without one
--- a/src/include/pathport/callers/job_budget.h
+++ b/src/include/pathport/callers/job_budget.h
@@ -19,11 +19,11 @@
 public:
     /// Returns whether a job that came at `at_ms` lies within the budget, and takes it off.
     /// A job that is told of late counts at the time of the latest before it.
-    bool take(double weight, int64_t at_ms);
+    bool try_consume(double weight, int64_t at_ms);
 
 private:
-    double m_left = 0;
-    std::optional<int64_t> m_as_of; ///< Of the latest job; nothing before the first.
+    double m_tokens = 0;
+    std::optional<int64_t> m_updated_at; ///< Of the latest job; nothing before the first.
 };
 
 } // namespace pathport::callers
--- a/src/include/pathport/callers/usage_ledger.h
+++ b/src/include/pathport/callers/usage_ledger.h
@@ -43,8 +43,8 @@
     void charge(WorkspaceNumber workspace, const Resources& need);
     void discharge(WorkspaceNumber workspace, const Resources& need);
     /// Sets anew what may run without a charge; counts like a charge.
-    void clear_doubts();
-    void add_doubt(WorkspaceNumber workspace, const Resources& need);
+    void clear_in_doubt();
+    void add_in_doubt(WorkspaceNumber workspace, const Resources& need);
 
     /// Returns what the workspace has running, or may have.
     Resources running(WorkspaceNumber workspace) const;
@@ -54,10 +54,10 @@
     int tasks_allowed(WorkspaceNumber workspace, const Resources& need, int most) const;
 
     /// Begins a look at all that waits: nothing is set aside.
-    void begin_round();
+    void clear_reservations();
     /// Sets room of the workspace aside for a step that waits for it, from those that are
     /// looked at after it.
-    void set_aside(WorkspaceNumber workspace, const Resources& need);
+    void reserve(WorkspaceNumber workspace, const Resources& need);
 
 private:
     struct Entry {
@@ -65,11 +65,11 @@
         Resources bound;
         double weight = 1;
         Resources charged;
-        Resources doubtful;
-        Resources aside; ///< Set aside in this round.
+        Resources in_doubt;
+        Resources reserved; ///< Set aside in this round.
     };
 
-    Resources free(const Entry& entry) const;
+    Resources available(const Entry& entry) const;
 
     std::vector<Entry> m_entries;
     std::map<std::string, WorkspaceNumber> m_numbers;
--- a/src/include/pathport/callers/workspace.h
+++ b/src/include/pathport/callers/workspace.h
@@ -35,8 +35,8 @@
 
 /// Returns how many tasks that need `need` each fit into `free`, where only the kinds that
 /// `bound` limits count; `most` when none of them does.
-int tasks_within(const Resources& need, const Resources& free, const Resources& bound,
-                 int most);
+int tasks_that_fit(const Resources& need, const Resources& free, const Resources& bound,
+                   int most);
 
 /// What is wrong with a workspace of a configuration.
 enum class WorkspaceFault {
@@ -72,14 +72,14 @@
     /// Returns the workspace of that name, or nothing.
     const Workspace* find(const std::string& name) const;
     /// Returns the workspace that has the key, or nothing.
-    const Workspace* holder(std::string_view key) const;
+    const Workspace* find_by_key(std::string_view key) const;
     /// Returns each key's digest with the place of its workspace in all().
     std::vector<std::pair<KeyDigest, size_t>> digests() const;
 
 private:
     KeyHasher m_hasher;
     std::vector<Workspace> m_all;
-    std::unordered_map<KeyDigest, size_t, KeyDigestHash> m_holders;
+    std::unordered_map<KeyDigest, size_t, KeyDigestHash> m_key_owners;
 };
 
 } // namespace pathport::callers
--- a/src/include/pathport/emulator/cell.h
+++ b/src/include/pathport/emulator/cell.h
@@ -27,21 +27,21 @@
 struct ClientJob {
     jobs::Queue queue;
     jobs::JobSpec spec;
-    std::vector<TaskFacts> facts;
+    std::vector<StepModel> facts;
     std::string key; ///< That its client brings.
     std::string workspace; ///< That the key was of when it was handed in first.
     bool accepted = false; ///< It was told so.
-    bool doubtful = false; ///< An attempt got no clear answer.
-    bool cancel_asked = false;
+    bool outcome_unknown = false; ///< An attempt got no clear answer.
+    bool cancel_requested = false;
     bool canceled = false; ///< It was told so.
-    bool hopeless = false; ///< Its tasks fail too often.
+    bool expected_to_fail = false; ///< Its tasks fail too often.
     Millis accepted_at;
     Millis canceled_at; ///< When it was told that it is cancelled.
-    Millis stands_since; ///< Since when it could run and doesn't; zero when it does.
+    Millis stalled_since; ///< Since when it could run and doesn't; zero when it does.
 };
 
 /// A workspace as the operators have it.
-struct WorkspaceFacts {
+struct WorkspaceSetup {
     callers::Workspace workspace;
     std::vector<std::string> keys;
 };
@@ -50,10 +50,10 @@
 struct ConfigurationChange {
     int64_t version = 0;
     Millis at;
-    std::vector<WorkspaceFacts> workspaces {};
+    std::vector<WorkspaceSetup> workspaces {};
 
     /// Returns the workspace that has the key, or "".
-    std::string holder(const std::string& key) const;
+    std::string key_owner(const std::string& key) const;
 };
 
 /// The cell.
@@ -85,15 +85,15 @@
     /// From now on the work of each node's process takes so long, also of those that start.
     void set_processor_cost(const ProcessorCost& cost);
     /// Cuts a node from its peers.
-    void cut_peers(const std::string& node, Millis span);
+    void partition_from_peers(const std::string& node, Millis span);
     /// The open connections of all nodes, to the store, the workers, the advisor and each
     /// other, go silent for good, `kept` idle ones each; new ones work.
-    void silence_connections(int kept);
+    void blackhole_connections(int kept);
     /// The operators write a configuration.
     void configure(const jobs::Configuration& configuration);
     /// The operators write one with these workspaces. From then on each call brings a key.
-    void configure_workspaces(const std::vector<WorkspaceFacts>& workspaces);
-    const std::vector<WorkspaceFacts>& workspaces() const
+    void configure_workspaces(const std::vector<WorkspaceSetup>& workspaces);
+    const std::vector<WorkspaceSetup>& workspaces() const
     {
         return m_changes.back().workspaces;
     }
@@ -101,14 +101,14 @@
     int64_t configuration_version(const std::string& node);
     /// The store is in trouble for `span` from now on; no node counts as in touch meanwhile
     /// and for a while after it.
-    void out_of_touch(Millis span);
+    void note_contact_loss(Millis span);
     /// The same for one node. Kills, freezes, cuts, stops and silences note it themselves.
-    void out_of_touch(const std::string& node, Millis span);
+    void note_contact_loss(const std::string& node, Millis span);
     /// From now on notes each node in touch that goes by an older configuration than it
     /// may, and each life of a node that goes back to one.
     void watch_configurations();
     /// Returns what was noted.
-    const std::vector<std::string>& late_configurations() const
+    const std::vector<std::string>& configuration_violations() const
     {
         return m_late_configurations;
     }
@@ -117,20 +117,20 @@
 
     /// Hands in a job at a node that runs, and again elsewhere after an unclear answer.
     void submit(const std::string& id, const jobs::JobSpec& spec,
-                const std::vector<TaskFacts>& facts, bool advised);
+                const std::vector<StepModel>& facts, bool advised);
     /// Hands in a job on the queue of that name, with a key if it isn't empty.
     void submit_on(const std::string& queue, const std::string& id,
-                   const jobs::JobSpec& spec, const std::vector<TaskFacts>& facts,
+                   const jobs::JobSpec& spec, const std::vector<StepModel>& facts,
                    const std::string& key = "");
     /// Asks any node, with another workspace's key, for the state of a job, and has it
     /// cancelled; notes a breach if that tells or changes anything.
-    void pry(const std::string& id, const std::string& key);
+    void attempt_foreign_access(const std::string& id, const std::string& key);
     /// Hands in a job at this node only and waits for the answer, in virtual time; nothing
     /// when the node does not run or does not answer.
     std::optional<jobs::ClientStatus> submit_at(const std::string& node,
                                                 const std::string& id,
                                                 const jobs::JobSpec& spec,
-                                                const std::vector<TaskFacts>& facts);
+                                                const std::vector<StepModel>& facts);
     /// Hands in a job that was handed in before, as a client does that got no answer.
     void submit_again(const std::string& id);
     /// Cancels a job.
@@ -143,15 +143,15 @@
 
     /// Checks that all accepted jobs have come to the end that they should; returns what is
     /// wrong, with all breaches seen so far.
-    std::vector<std::string> verdict();
+    std::vector<std::string> final_violations();
     /// Notes that there is a disturbance for `span` from now on, and that jobs may stand
     /// for `settles_in` after it.
-    void disturbed(Millis span, Millis settles_in = Millis(0));
+    void note_disturbance(Millis span, Millis settles_in = Millis(0));
     /// From now on notes each job that stands for 3 s although it could run, in calm, and
     /// each that runs on though it was cancelled.
     void watch_jobs();
     /// Returns the jobs that were found to stand.
-    const std::vector<std::string>& standing() const { return m_standing; }
+    const std::vector<std::string>& liveness_violations() const { return m_standing; }
     const std::map<std::string, ClientJob>& jobs() const { return m_jobs; }
 
 private:
@@ -161,7 +161,7 @@
     NodeProcess* running(const std::string& node);
     NodeProcess* any_running();
     void describe(const std::string& id, const jobs::JobSpec& spec,
-                  const std::vector<TaskFacts>& facts, const jobs::Queue& queue);
+                  const std::vector<StepModel>& facts, const jobs::Queue& queue);
     void try_submit(const std::string& id, int tries);
     void submit_answered(const std::string& id, int tries, jobs::ClientStatus status);
     // Callers (cell_callers.cpp).
--- a/src/include/pathport/emulator/kept_connections.h
+++ b/src/include/pathport/emulator/pooled_connections.h
@@ -15,10 +15,10 @@
 
 /// Kept connections of which some are silent for good. Each swallows one call, as long as
 /// the client has not found out; then it uses new ones.
-class KeptConnections {
+class PooledConnections {
 public:
     /// All that are open go silent: `kept` idle ones and those that carry a call.
-    void silence(int kept)
+    void blackhole(int kept)
     {
         m_silent = kept;
         m_found_at = Millis();
@@ -27,7 +27,7 @@
 
     /// Takes a connection for a call that begins now and returns whether it is a silent
     /// one. The server may hold the answer back for `hold`; the caller waits for `timeout`.
-    bool swallows(Millis now, Millis hold, Millis timeout)
+    bool drops_call(Millis now, Millis hold, Millis timeout)
     {
         if (m_silent == 0)
             return false;
--- a/src/include/pathport/emulator/store.h
+++ b/src/include/pathport/emulator/store.h
@@ -7,7 +7,7 @@
 
 #pragma once
 
-#include <pathport/emulator/kept_connections.h>
+#include <pathport/emulator/pooled_connections.h>
 #include <pathport/emulator/virtual_loop.h>
 #include <pathport/jobs/job_store.h>
 
@@ -20,15 +20,16 @@
 namespace pathport::emulator {
 
 /// How the store misbehaves at present.
-struct StoreTrouble {
-    bool busy = false; ///< Each call is refused.
-    bool silent = false; ///< No call is done or answered.
-    int64_t slow = 1; ///< Answers take so many times as long.
-    double lose = 0; ///< So many writes are done and not answered.
-    double lose_reads = 0; ///< So many reads and watches are not answered.
-    bool late = false; ///< Those that are not answered are done 1 to 6 s later.
+struct InjectedStoreFaults {
+    bool refuse_calls = false; ///< Each call is refused.
+    bool unresponsive = false; ///< No call is done or answered.
+    int64_t latency_factor = 1; ///< Answers take so many times as long.
+    double lost_write_replies = 0; ///< So many writes are done and not answered.
+    double lost_read_replies = 0; ///< So many reads and watches are not answered.
+    bool delay_lost_writes
+        = false; ///< Those that are not answered are done 1 to 6 s later.
     std::set<std::string> refused_nodes; ///< Refused for these only.
-    std::set<std::string> cut_nodes; ///< Silent for these only.
+    std::set<std::string> partitioned_nodes; ///< Silent for these only.
 };
 
 /// The store of a world.
@@ -36,7 +37,7 @@
 public:
     explicit Store(World& world);
 
-    StoreTrouble trouble;
+    InjectedStoreFaults injected;
     /// The workers that the directory lists.
     std::function<std::vector<jobs::WorkerInfo>()> list_workers;
 
@@ -69,7 +70,10 @@
         std::string value;
         int64_t version = 0;
     };
-    static Key key(const jobs::RowKey& row) { return { row.table, row.part, row.key }; }
+    static Key key(const jobs::RowKey& row)
+    {
+        return { row.table, row.partition, row.key };
+    }
 
     World& m_world;
     std::map<Key, Row> m_rows;
@@ -103,7 +107,7 @@
         std::function<void(jobs::DirectoryAnswer<jobs::Configuration>)> done) override;
 
     /// This process's connections.
-    KeptConnections connections;
+    PooledConnections connections;
 
 private:
     enum class Reach { served, refused, silent };
--- a/src/include/pathport/emulator/virtual_loop.h
+++ b/src/include/pathport/emulator/virtual_loop.h
@@ -31,7 +31,7 @@
     /// Runs all events up to now() + `span`.
     void run_for(Millis span);
     /// Returns a random number below `bound`.
-    uint64_t below(uint64_t bound);
+    uint64_t random_below(uint64_t bound);
     /// Returns true with probability `share`.
     bool chance(double share);
 
@@ -49,7 +49,7 @@
     /// A reading of the clock: long loops read it, so their work shows in it.
     Millis clock_reading;
 
-    bool is_free() const { return event == Millis(0) && clock_reading == Millis(0); }
+    bool is_zero() const { return event == Millis(0) && clock_reading == Millis(0); }
 };
 
 /// The loop of one process in a world: it can be killed, and frozen and woken again.
@@ -60,7 +60,7 @@
     Millis now() const override;
     TimerId after(Millis delay, std::function<void()> work) override;
     void cancel(TimerId timer) override;
-    uint64_t random() override { return m_world.below(UINT64_MAX); }
+    uint64_t random() override { return m_world.random_below(UINT64_MAX); }
 
     /// Runs `work` in the process when it runs; drops it once the process is dead.
     void deliver(std::function<void()> work);
--- a/src/include/pathport/jobs/job_model.h
+++ b/src/include/pathport/jobs/job_model.h
@@ -29,14 +29,17 @@
     bool gang = false; ///< The tasks run only together, under one run id.
     bool same_rack = false; ///< The tasks are slower when spread over racks.
     bool speculative = false; ///< Copies of a task may run side by side.
-    bool lasting = false; ///< The tasks run until the job is cancelled.
-    bool fills = false; ///< The processors needed aren't counted against a worker's room.
+    bool long_running = false; ///< The tasks run until the job is cancelled.
+    bool best_effort_cpu
+        = false; ///< The processors needed aren't counted against a worker's room.
     std::string label; ///< A label that the worker must have; empty for none.
-    std::string near_rack; ///< The rack where the tasks are fastest; empty for none.
+    std::string preferred_rack; ///< The rack where the tasks are fastest; empty for none.
     int max_per_worker = 0; ///< Most tasks of the step on one worker; 0 for no limit.
     std::string image; ///< Tasks of one image behave alike.
-    int64_t target_ms = 0; ///< Wanted tail of a serving task's answer times; 0 for none.
-    int max_away = 0; ///< Lasting tasks that may be away at once by pathport's doing.
+    int64_t latency_target_ms
+        = 0; ///< Wanted tail of a serving task's answer times; 0 for none.
+    int max_unavailable
+        = 0; ///< Lasting tasks that may be away at once by pathport's doing.
 
     bool operator==(const StepSpec& other) const;
 };
@@ -51,7 +54,7 @@
 
     bool operator==(const JobSpec& other) const;
     /// Returns whether the steps run at set times.
-    bool timed() const { return repeats > 0; }
+    bool has_schedule() const { return repeats > 0; }
     /// Returns how often the steps run in all.
     int instances() const { return repeats > 0 ? repeats : 1; }
 };
@@ -150,8 +153,8 @@
     failed,
     stopped, ///< By order.
     lapsed, ///< Its lease ran out.
-    broken, ///< Another member of its gang ended.
-    alone, ///< The other members of its gang did not come in time.
+    gang_broken, ///< Another member of its gang ended.
+    gang_not_formed, ///< The other members of its gang did not come in time.
 };
 /// Returns the lower-case name of `kind`.
 const char* to_string(EndKind kind);
@@ -161,18 +164,18 @@
 /// is kept, ordered, counted or written of a worker is kept by the id of a life, never by
 /// the name. Two lives are told apart by when they say that they started, which is no order
 /// of them: clocks jump.
-struct WorkerLife {
+struct WorkerIncarnation {
     std::string name; ///< By which the platform calls the worker, in all its lives.
-    int64_t born_ms = 0; ///< When it started, since 1970; 0 if the worker doesn't tell.
+    int64_t started_ms = 0; ///< When it started, since 1970; 0 if the worker doesn't tell.
 
     /// Returns the id of the life: the name alone if it is all that is known, else
     /// "<name>~<born_ms to base 36>", 9 bytes more, since a thousand ids stand in one row.
     std::string id() const;
     /// Returns the life of which `id` is the id.
-    static WorkerLife parse(const std::string& id);
-    bool operator==(const WorkerLife& other) const
+    static WorkerIncarnation parse(const std::string& id);
+    bool operator==(const WorkerIncarnation& other) const
     {
-        return name == other.name && born_ms == other.born_ms;
+        return name == other.name && started_ms == other.started_ms;
     }
 };
 
--- a/src/include/pathport/jobs/job_node.h
+++ b/src/include/pathport/jobs/job_node.h
@@ -26,7 +26,7 @@
 namespace pathport::jobs {
 
 /// The systems around a node. All of them outlive it.
-struct NodeParts {
+struct NodeContext {
     EventLoop& loop;
     JobStore& store;
     Directory& directory;
@@ -42,19 +42,19 @@
     std::string node; ///< Its name.
     std::string peer_address; ///< IP:port where it takes peers' messages.
     std::string incarnation; ///< Changes with each start.
-    Millis max_hold { 6000 }; ///< The longest lease of a worker.
+    Millis max_lease { 6000 }; ///< The longest lease of a worker.
     Millis kill_grace { 400 }; ///< How long a stop takes at a worker.
     Millis gang_timeout { 3000 }; ///< So long a gang's member waits for the others.
     /// Within this time a worker that announces its end gets no new task any more.
-    Millis drain { 2000 };
+    Millis drain_margin { 2000 };
     /// The processor time that the node may use, in thousandths of a core. A node leads
     /// only while no stronger one can.
-    int strength = 1000;
+    int cpu_millicores = 1000;
     /// What the node's link moves in a second, in bytes; 0 for no bound.
-    int64_t link_bytes = 0;
+    int64_t link_bytes_per_s = 0;
     /// A leader that stops in order waits so long at most for a slow store to be quick
     /// again before it hands over.
-    Millis hand_over_by { 2500 };
+    Millis max_hand_over_delay { 2500 };
     /// So many closed jobs of one part of the store are archived together.
     size_t archive_batch = 12;
     /// For experiments only.
@@ -91,7 +91,7 @@
 /// A node.
 class JobNode {
 public:
-    JobNode(const NodeParts& parts, const NodeSetup& setup);
+    JobNode(const NodeContext& parts, const NodeSetup& setup);
     ~JobNode();
     JobNode(const JobNode&) = delete;
     JobNode& operator=(const JobNode&) = delete;
@@ -99,7 +99,7 @@
     /// Begins to work.
     void begin();
     /// Begins a planned stop: it takes no more part in the election and hands over.
-    void leave();
+    void begin_shutdown();
 
     /// Returns whether clients should be sent here.
     bool ready() const;
@@ -114,9 +114,10 @@
     bool configuration_is_fresh() const;
     /// Returns when a caller whose job the queue does not take should come back; zero when
     /// it takes it.
-    Millis come_back_after(const std::string& queue) const;
+    Millis closed_queue_retry_after(const std::string& queue) const;
     /// Returns when a caller whose job was refused should come back.
-    Millis pause_of(const Queue& queue, const JobSpec& spec, const std::string& id) const;
+    Millis retry_after_refusal(const Queue& queue, const JobSpec& spec,
+                               const std::string& id) const;
     /// From now on `listener` is told of each configuration that comes into force.
     void on_configuration(std::function<void(const Configuration&)> listener);
 
--- a/src/include/pathport/jobs/job_store.h
+++ b/src/include/pathport/jobs/job_store.h
@@ -21,12 +21,12 @@
 /// Names one row. A transaction may touch rows of several tables but of one part only.
 struct RowKey {
     std::string table;
-    std::string part;
+    std::string partition;
     std::string key;
 
     bool operator==(const RowKey& other) const
     {
-        return table == other.table && part == other.part && key == other.key;
+        return table == other.table && partition == other.partition && key == other.key;
     }
 };
 
@@ -60,7 +60,7 @@
 /// A read of rows of one table and part, with keys from `from` up to but without `to`.
 struct StoreRange {
     std::string table;
-    std::string part;
+    std::string partition;
     std::string from;
     std::string to; ///< Empty for no end.
     int limit = 500;
--- a/src/include/pathport/jobs/peers.h
+++ b/src/include/pathport/jobs/peers.h
@@ -20,17 +20,17 @@
 namespace pathport::jobs {
 
 /// How long a relay holds a leader's message open at most while it has no answers.
-constexpr Millis relay_hold { 400 };
+constexpr Millis relay_poll_wait { 400 };
 
 /// A queue that takes no jobs at present, since the advice that there is can't decide about
 /// them in time.
 struct ClosedQueue {
     std::string queue;
-    Millis come_back; ///< Callers should come back after so long.
+    Millis retry_after; ///< Callers should come back after so long.
 
     bool operator==(const ClosedQueue& other) const
     {
-        return queue == other.queue && come_back == other.come_back;
+        return queue == other.queue && retry_after == other.retry_after;
     }
 };
 
@@ -71,8 +71,8 @@
     /// The sender led in `epoch` and gives its place up; or it follows and stops, so that
     /// it must not be made the successor.
     bool resigned = false;
-    int strength = 0; ///< The sender's, as in NodeSetup.
-    int64_t link_bytes = 0; ///< The same.
+    int cpu_millicores = 0; ///< The sender's, as in NodeSetup.
+    int64_t link_bytes_per_s = 0; ///< The same.
     std::string calls; ///< Calls to workers, encoded.
     int64_t peers_hash = 0; ///< Of the list of followers that the sender has.
     bool store_served = false; ///< Whether the store served the sender lately.
@@ -94,9 +94,10 @@
     int64_t epoch = 0;
     int64_t sent_ms = 0; ///< The leader's clock.
     int64_t config_version = 0;
-    int strongest_follower = 0; ///< The highest strength among a leader's live followers.
+    int max_follower_millicores
+        = 0; ///< The highest strength among a leader's live followers.
     int64_t call_rate = 0; ///< Calls to workers that a leader has made in a second lately.
-    int64_t call_bytes = 0; ///< What they take on a link, in bytes a second.
+    int64_t call_bytes_per_s = 0; ///< What they take on a link, in bytes a second.
     int64_t peers_hash = 0; ///< Of the leader's list of followers.
     std::vector<std::string> peers; ///< That list, if the sender's is another one.
     int status = 0; ///< Of an acceptance or cancellation, as to a client.
--- a/src/include/pathport/jobs/relayed_calls.h
+++ b/src/include/pathport/jobs/relayed_calls.h
@@ -16,22 +16,22 @@
 namespace pathport::jobs {
 
 /// What a relayed call does at its worker.
-enum class RelayedKind { start, stop, pace, look };
+enum class RelayedKind { start, stop, set_speed, poll };
 
 /// One call.
 struct RelayedCall {
     int64_t number = 0; ///< Names the call in its answer; the leader's own.
-    RelayedKind kind = RelayedKind::look;
+    RelayedKind kind = RelayedKind::poll;
     std::string worker; ///< The life that is meant.
     std::string address; ///< Where it takes orders.
     Millis timeout; ///< How long its answer is waited for.
     StartOrder start; ///< For a start.
     /// The node that has the payload of the start, which is left out then; empty when the
     /// payload is there, or the relay has had it already.
-    std::string payload_from;
-    bool payload_left_out = false;
+    std::string payload_source;
+    bool payload_omitted = false;
     RunOrder run; ///< For a stop or a pace.
-    LookOrder look; ///< For a look.
+    PollRequest poll; ///< For a look.
 };
 
 /// What became of one call.
@@ -40,7 +40,7 @@
     OrderStatus status = OrderStatus::unknown;
     int64_t clock_ms = 0; ///< The worker's clock; 0 when there is none.
     bool payload_missing = false; ///< No order was given, since its payload wasn't found.
-    std::optional<LookReport> report;
+    std::optional<PollReport> report;
 };
 
 /// Encodes calls for the wire (JSON).
--- a/src/include/pathport/jobs/worker_client.h
+++ b/src/include/pathport/jobs/worker_client.h
@@ -26,8 +26,9 @@
     no_room, ///< Nothing was done.
     bad_ticket, ///< The ticket has run out or is missing; nothing was done.
     declined, ///< The worker is unhealthy or the order malformed; nothing was done.
-    other_life, ///< Another worker answered: the life meant is over. Nothing was done.
-    reborn, ///< Another life of the same name answered, and may have done it.
+    wrong_incarnation, ///< Another worker answered: the life meant is over. Nothing was
+                       ///< done.
+    replaced, ///< Another life of the same name answered, and may have done it.
     refused, ///< Nothing listens at the worker's address; nothing was sent.
     unreachable, ///< No connection came about; nothing was sent, the worker may be there.
     unknown, ///< No answer: it may have been done, or be done seconds later.
@@ -40,7 +41,7 @@
     TaskId task;
     int64_t run = 0; ///< Rises with each start of the task.
     std::string payload;
-    int64_t hold_until = 0; ///< Time on the worker's clock at which all there is killed.
+    int64_t lease_until = 0; ///< Time on the worker's clock at which all there is killed.
     int64_t fence = 0; ///< The worker does nothing for a lower one than it has seen.
     std::string checkpoint; ///< To go on from; empty for none.
     std::string ticket; ///< From the advisor; empty for none.
@@ -55,14 +56,14 @@
 };
 
 /// A look at a worker, which also renews the lease of all that runs there.
-struct LookOrder {
+struct PollRequest {
     int64_t fence = 0;
-    int64_t seen_through = 0; ///< Ends up to this number are forgotten by the worker.
-    int64_t hold_until = 0; ///< On the worker's clock; 0 renews nothing.
+    int64_t acked_through = 0; ///< Ends up to this number are forgotten by the worker.
+    int64_t lease_until = 0; ///< On the worker's clock; 0 renews nothing.
     Millis wait; ///< The answer waits so long for an end; at most `max_look_wait`.
 };
 
-constexpr Millis max_look_wait { 2000 };
+constexpr Millis max_poll_wait { 2000 };
 
 /// A run on a worker.
 struct RunningTask {
@@ -70,7 +71,7 @@
     int64_t run = 0;
     std::string checkpoint;
     int percent = 0; ///< Of its work; of a lasting task 100 when it is at work.
-    double figure = 0; ///< Tail of answers in ms of a serving task, else processors in use.
+    double metric = 0; ///< Tail of answers in ms of a serving task, else processors in use.
 };
 
 /// A run that has ended on a worker.
@@ -83,18 +84,18 @@
 };
 
 /// The most ends that one report lists, the earliest first (PROTOCOL.md of the platform).
-constexpr size_t most_listed_ends = 500;
+constexpr size_t max_listed_ends = 500;
 
 /// What a look brought.
-struct LookReport {
+struct PollReport {
     int64_t clock_ms = 0;
     std::vector<RunningTask> running;
     std::vector<EndedTask> ended; ///< Those after `seen_through`.
-    bool running_left_out = false; ///< What runs was told of lately, and is not this time.
+    bool running_omitted = false; ///< What runs was told of lately, and is not this time.
 
     /// Returns whether there are no ends beyond those listed. A run that is missing in a
     /// full list may be among the next.
-    bool lists_all_ends() const { return ended.size() < most_listed_ends; }
+    bool lists_all_ends() const { return ended.size() < max_listed_ends; }
     /// Returns whether the run is among those that run or have ended.
     bool lists(const TaskId& task, int64_t run) const;
 };
@@ -117,12 +118,12 @@
     virtual void stop(const WorkerInfo& worker, const RunOrder& order, Millis timeout,
                       std::function<void(OrderAnswer)> done)
         = 0;
-    virtual void pace(const WorkerInfo& worker, const RunOrder& order, Millis timeout,
-                      std::function<void(OrderAnswer)> done)
+    virtual void set_speed(const WorkerInfo& worker, const RunOrder& order, Millis timeout,
+                           std::function<void(OrderAnswer)> done)
         = 0;
     /// Looks at a worker. There is a report if the status is `accepted`.
-    virtual void look(const WorkerInfo& worker, const LookOrder& order, Millis timeout,
-                      std::function<void(OrderStatus, std::optional<LookReport>)> done)
+    virtual void poll(const WorkerInfo& worker, const PollRequest& order, Millis timeout,
+                      std::function<void(OrderStatus, std::optional<PollReport>)> done)
         = 0;
 };
 
--- a/src/jobs.lib/acceptor.cpp
+++ b/src/jobs.lib/acceptor.cpp
@@ -50,7 +50,7 @@
     entry->workspace = workspace;
     entry->give_up = give_up;
     entry->done.push_back(std::move(done));
-    add(job_part(id), std::move(entry));
+    add(job_partition(id), std::move(entry));
 }
 
 // A job that is closed needs no cancellation.
@@ -59,7 +59,7 @@
 {
     const auto from_open
         = [this, id, caller, give_up, done](Presence job, const std::string& owner) {
-              if (job == Presence::untold) {
+              if (job == Presence::undetermined) {
                   done({ WriteOutcome::refused });
                   return;
               }
@@ -76,7 +76,7 @@
                           WriteResult result { WriteOutcome::written };
                           if (closed == Presence::missing || !caller.may_see(of))
                               result.outcome = WriteOutcome::missing;
-                          if (closed == Presence::untold)
+                          if (closed == Presence::undetermined)
                               result.outcome = WriteOutcome::refused;
                           done(result);
                       });
@@ -92,7 +92,7 @@
     entry->value = "1";
     entry->give_up = give_up;
     entry->done.push_back(std::move(done));
-    add(job_part(id), std::move(entry));
+    add(job_partition(id), std::move(entry));
 }
 
 // Says whether the row is there, trying until `give_up`.
@@ -100,7 +100,7 @@
 {
     StoreRange range;
     range.table = row.table;
-    range.part = row.part;
+    range.partition = row.partition;
     range.from = row.key;
     range.to = row.key + "!";
     range.limit = 1;
@@ -120,7 +120,7 @@
                          return;
                      }
                      if (m_loop.now() >= give_up || m_store.failing()) {
-                         done(Presence::untold, "");
+                         done(Presence::undetermined, "");
                          return;
                      }
                      m_loop.after(refused_pause,
@@ -147,16 +147,16 @@
         return;
     }
     m_open[entry->row.key] = entry;
-    m_parts[part].waiting.push_back(std::move(entry));
+    m_partitions[part].waiting.push_back(std::move(entry));
     flush(part);
 }
 
 void Acceptor::flush(const std::string& name)
 {
-    Part& part = m_parts[name];
+    Partition& part = m_partitions[name];
     if (part.busy)
         return;
-    give_up_late(part);
+    expire_entries(part);
     StoreWrite write;
     size_t bytes = 0;
     while (!part.waiting.empty() && part.under_way.size() < most_rows
@@ -181,7 +181,7 @@
 
 void Acceptor::answered(const std::string& name, const StoreResult& result)
 {
-    Part& part = m_parts[name];
+    Partition& part = m_partitions[name];
     part.busy = false;
     std::vector<EntryPtr> sent;
     sent.swap(part.under_way);
@@ -196,7 +196,7 @@
             pause = refused_pause;
         for (auto entry = sent.rbegin(); entry != sent.rend(); ++entry) {
             // Rows that came with the result are there already; the others go out again.
-            const auto finished = finished_by(**entry, result);
+            const auto finished = outcome_from_rows(**entry, result);
             if (finished) {
                 finish(*entry, *finished);
                 continue;
@@ -212,11 +212,11 @@
         flush(name);
         return;
     }
-    give_up_late(part);
+    expire_entries(part);
     m_loop.after(pause, m_lifetime.wrap([this, name] { flush(name); }));
 }
 
-void Acceptor::give_up_late(Part& part)
+void Acceptor::expire_entries(Partition& part)
 {
     const Millis now = m_loop.now();
     std::deque<EntryPtr> kept;
@@ -235,8 +235,8 @@
 // Returns the outcome if the rows of a result, those that a conflict names or one that was
 // read, show that there is nothing left to write. A closed job's version is left at 0: it
 // says nothing about when the job came.
-std::optional<WriteResult> Acceptor::finished_by(const Entry& entry,
-                                                 const StoreResult& result)
+std::optional<WriteResult> Acceptor::outcome_from_rows(const Entry& entry,
+                                                       const StoreResult& result)
 {
     for (const StoredRow& row : result.rows) {
         if (row.version == 0)
--- a/src/jobs.lib/acceptor.h
+++ b/src/jobs.lib/acceptor.h
@@ -82,7 +82,7 @@
         std::vector<WriteReply> done;
     };
     using EntryPtr = std::shared_ptr<Entry>;
-    struct Part {
+    struct Partition {
         std::deque<EntryPtr> waiting;
         std::vector<EntryPtr> under_way;
         bool busy = false;
@@ -93,19 +93,19 @@
     void flush(const std::string& part);
     void answered(const std::string& part, const StoreResult& result);
     void finish(const EntryPtr& entry, const WriteResult& result);
-    static std::optional<WriteResult> finished_by(const Entry& entry,
-                                                  const StoreResult& result);
-    void give_up_late(Part& part);
+    static std::optional<WriteResult> outcome_from_rows(const Entry& entry,
+                                                        const StoreResult& result);
+    void expire_entries(Partition& part);
 
     /// What the store says of a job.
-    enum class Presence { open, closed, missing, untold };
+    enum class Presence { open, closed, missing, undetermined };
     using LookUpReply = std::function<void(Presence, const std::string& workspace)>;
     void look_up(const RowKey& row, Millis give_up, LookUpReply done);
     void record_cancel(const std::string& id, Millis give_up, WriteReply done);
 
     EventLoop& m_loop;
     StoreHealth& m_store;
-    std::map<std::string, Part> m_parts;
+    std::map<std::string, Partition> m_partitions;
     std::map<std::string, EntryPtr> m_open; ///< By row key.
     Lifetime m_lifetime;
 };
--- a/src/jobs.lib/acceptor_test.cpp
+++ b/src/jobs.lib/acceptor_test.cpp
@@ -26,8 +26,8 @@
 
 constexpr Millis long_try { 5000 };
 
-struct QuietLog {
-    QuietLog() { start_log("test", LogLevel::error); }
+struct LogFixture {
+    LogFixture() { start_log("test", LogLevel::error); }
 };
 
 /// Passes reads on to a store and keeps writes back until they are released.
@@ -123,7 +123,7 @@
     std::vector<std::string> ids;
     for (int i = 0; ids.size() < count; ++i) {
         const std::string id = "job" + std::to_string(i);
-        if (job_part(id) == job_part("job0"))
+        if (job_partition(id) == job_partition("job0"))
             ids.push_back(id);
     }
     return ids;
@@ -131,7 +131,7 @@
 
 } // namespace
 
-BOOST_GLOBAL_FIXTURE(QuietLog);
+BOOST_GLOBAL_FIXTURE(LogFixture);
 
 // Found on the bench (LOST, random days with a store that loses answers): a write of two
 // jobs got no answer, and the row of the first was there, put by an earlier write that was
@@ -204,8 +204,8 @@
         StoreHealth health { loop, port, metrics };
         Acceptor acceptor { loop, health };
         int wrong = 0;
-        store.trouble.lose = 0.6;
-        store.trouble.late = true;
+        store.injected.lost_write_replies = 0.6;
+        store.injected.delay_lost_writes = true;
         for (const std::string& id : ids) {
             acceptor.accept(id, "row of " + id, "", world.now() + long_try,
                             [&store, &wrong, id](WriteResult result) {
@@ -213,8 +213,8 @@
                                     && store.value(job_row(id)).empty())
                                     ++wrong;
                             });
-            store.trouble.slow = world.chance(0.2) ? 40 : 1;
-            world.run_for(Millis(int64_t(world.below(120))));
+            store.injected.latency_factor = world.chance(0.2) ? 40 : 1;
+            world.run_for(Millis(int64_t(world.random_below(120))));
         }
         world.run_for(long_try);
         BOOST_TEST(wrong == 0, "seed " << seed << ": " << wrong);
@@ -229,10 +229,10 @@
     for (uint64_t seed = 1; seed <= 20; ++seed) {
         emulator::Cell cell(seed, 3, 6);
         cell.world.run_for(Millis(2000));
-        emulator::TaskFacts facts;
+        emulator::StepModel facts;
         facts.count = 3;
         facts.run_ms = 600;
-        facts.fails = 1;
+        facts.failing_runs = 1;
         facts.need = { 450, 528, 0 };
         facts.payload = "p";
         jobs::JobSpec spec;
@@ -242,19 +242,19 @@
         step.need = facts.need;
         step.expected_ms = facts.run_ms;
         spec.steps.push_back(step);
-        cell.store.trouble.lose = 0.95;
-        cell.store.trouble.late = true;
+        cell.store.injected.lost_write_replies = 0.95;
+        cell.store.injected.delay_lost_writes = true;
         for (const std::string& id : ids) {
             cell.submit(id, spec, { facts }, false);
             cell.world.run_for(Millis(40));
         }
-        cell.store.trouble.lose = 0;
+        cell.store.injected.lost_write_replies = 0;
         cell.world.run_for(Millis(700));
         for (const std::string& node : cell.node_names())
             cell.kill(node, Millis(500));
         cell.world.run_for(Millis(25000));
         std::string text;
-        for (const std::string& line : cell.verdict())
+        for (const std::string& line : cell.final_violations())
             text += "\n  " + line;
         BOOST_TEST(text.empty(), "seed " << seed << text);
     }
@@ -281,23 +281,23 @@
         std::vector<std::string> ids;
         for (int i = 0; ids.size() < 40; ++i) {
             const std::string id = "job" + std::to_string(i);
-            if (job_part(id) == job_part("job0"))
+            if (job_partition(id) == job_partition("job0"))
                 ids.push_back(id);
         }
         std::map<std::string, std::vector<WriteResult>> results;
         const auto stored = [&store](const RowKey& row) -> int64_t {
-            StoreRange range { row.table, row.part, row.key, row.key + "!", 1 };
+            StoreRange range { row.table, row.partition, row.key, row.key + "!", 1 };
             const auto found = store.read_now(range);
             return found.rows.empty() ? 0 : found.rows.front().version;
         };
         for (int i = 0; i < 120; ++i) {
-            const std::string id = ids[world.below(ids.size())];
+            const std::string id = ids[world.random_below(ids.size())];
             Acceptor& node = world.chance(0.7) ? acceptor : other;
-            store.trouble.lose = world.chance(0.5) ? 0.5 : 0;
-            store.trouble.late = world.chance(0.5);
-            store.trouble.busy = world.chance(0.1);
-            store.trouble.silent = world.chance(0.05);
-            store.trouble.slow = world.chance(0.3) ? 60 : 1;
+            store.injected.lost_write_replies = world.chance(0.5) ? 0.5 : 0;
+            store.injected.delay_lost_writes = world.chance(0.5);
+            store.injected.refuse_calls = world.chance(0.1);
+            store.injected.unresponsive = world.chance(0.05);
+            store.injected.latency_factor = world.chance(0.3) ? 60 : 1;
             if (world.chance(0.2)) {
                 // A hand-in that is still under way may come after the cancellation looked.
                 const bool was_there = stored(job_row(id)) > 0;
@@ -327,7 +327,7 @@
                                     BOOST_TEST(at == result.version);
                             });
             }
-            world.run_for(Millis(int64_t(world.below(150))));
+            world.run_for(Millis(int64_t(world.random_below(150))));
         }
         world.run_for(Millis(15000));
         for (const auto& [id, all] : results) {
--- a/src/jobs.lib/advice_pool.cpp
+++ b/src/jobs.lib/advice_pool.cpp
@@ -33,13 +33,13 @@
 /// answers of a slow queue, so that a short crowd of questions is soon forgotten.
 constexpr double share_half_life_ms = 2000;
 
-double cost_of(const AdviceQuestion& question)
+double cost_of(const AdviceQuery& question)
 {
     return question.rule.decision_ms
         + question.rule.per_worker_ms * double(question.workers.size());
 }
 
-Millis timeout_of(const AdviceQuestion& question)
+Millis timeout_of(const AdviceQuery& question)
 {
     return Millis(static_cast<int64_t>(3 * cost_of(question))) + call_margin;
 }
@@ -73,27 +73,28 @@
     dispatch();
 }
 
-AdvicePool::Pace AdvicePool::pace_of(const AdviceRule& rule)
+AdvicePool::LatencyClass AdvicePool::latency_class(const AdviceRule& rule)
 {
     if (rule.decision_ms >= slow_decision_ms)
-        return Pace::slow;
-    return rule.decision_ms >= medium_decision_ms ? Pace::medium : Pace::fast;
+        return LatencyClass::slow;
+    return rule.decision_ms >= medium_decision_ms ? LatencyClass::medium
+                                                  : LatencyClass::fast;
 }
 
-void AdvicePool::ask(AdviceQuestion question, std::function<void(AdviceReply)> done)
+void AdvicePool::ask(AdviceQuery question, std::function<void(AdviceReply)> done)
 {
-    m_waiting.push_back(Waiting { std::move(question), std::move(done) });
+    m_pending.push_back(PendingQuery { std::move(question), std::move(done) });
     dispatch();
 }
 
 // Returns what the queue has had of the advisor's time, as it counts at present.
-double AdvicePool::present_cost(const std::string& queue) const
+double AdvicePool::decayed_cost(const std::string& queue) const
 {
-    const auto found = m_shares.find(queue);
-    return found == m_shares.end() ? 0 : present_cost(found->second);
+    const auto found = m_queue_usage.find(queue);
+    return found == m_queue_usage.end() ? 0 : decayed_cost(found->second);
 }
 
-double AdvicePool::present_cost(const Share& share) const
+double AdvicePool::decayed_cost(const AdvisorUsage& share) const
 {
     const double age = double((m_loop.now() - share.at).count());
     return share.cost_ms * std::exp2(-age / share_half_life_ms);
@@ -102,33 +103,34 @@
 // A steady load of `l` callers adds up to l * half-life / ln 2.
 double AdvicePool::spare_callers() const
 {
-    const double urgent = present_cost(m_urgent) * std::log(2.0) / share_half_life_ms;
+    const double urgent = decayed_cost(m_urgent_usage) * std::log(2.0) / share_half_life_ms;
     return backlog().callers - urgent;
 }
 
 // The less urgent a queue, the dearer its questions: one of priority 2 gets half of the
 // time that one of priority 1 gets while both have questions waiting.
-void AdvicePool::charge(const AdviceQuestion& question)
+void AdvicePool::charge(const AdviceQuery& question)
 {
     if (question.priority == 0)
-        m_urgent = Share { present_cost(m_urgent) + cost_of(question), m_loop.now() };
+        m_urgent_usage = AdvisorUsage { decayed_cost(m_urgent_usage) + cost_of(question),
+                                        m_loop.now() };
     const double cost
-        = present_cost(question.queue) + question.priority * cost_of(question);
-    m_shares[question.queue] = Share { cost, m_loop.now() };
+        = decayed_cost(question.queue) + question.priority * cost_of(question);
+    m_queue_usage[question.queue] = AdvisorUsage { cost, m_loop.now() };
 }
 
 // Returns the indices of the waiting questions in the order in which they should be sent:
 // those of priority 0, then those of the queues that had the least of their share.
-std::vector<size_t> AdvicePool::order_of_waiting() const
+std::vector<size_t> AdvicePool::dispatch_order() const
 {
     std::map<std::string, double> costs;
-    for (const Waiting& entry : m_waiting)
-        costs.try_emplace(entry.question.queue, present_cost(entry.question.queue));
-    std::vector<size_t> order(m_waiting.size());
+    for (const PendingQuery& entry : m_pending)
+        costs.try_emplace(entry.question.queue, decayed_cost(entry.question.queue));
+    std::vector<size_t> order(m_pending.size());
     std::iota(order.begin(), order.end(), size_t(0));
     const bool shared = m_mechanisms.uses(Mechanism::advice_shares);
     const auto key = [&](size_t index) {
-        const AdviceQuestion& question = m_waiting[index].question;
+        const AdviceQuery& question = m_pending[index].question;
         return std::make_tuple(question.priority > 0, shared ? costs[question.queue] : 0,
                                question.priority);
     };
@@ -139,7 +141,7 @@
 
 // The first callers, this node among them, take fast questions, the next ones medium ones,
 // the rest slow ones.
-AdvicePool::CallerRange AdvicePool::callers_for(Pace pace)
+AdvicePool::CallerRange AdvicePool::callers_for(LatencyClass pace)
 {
     const Millis now = m_loop.now();
     CallerRange range;
@@ -166,22 +168,23 @@
 }
 
 // A caller that is idle takes a faster question than its own.
-AdvicePool::Caller* AdvicePool::free_caller(Pace pace, const std::vector<Caller*>& held)
+AdvicePool::Caller* AdvicePool::free_caller(LatencyClass pace,
+                                            const std::vector<Caller*>& held)
 {
     const CallerRange range = callers_for(pace);
-    const int limit = pace == Pace::slow ? 1 : quick_under_way;
+    const int limit = pace == LatencyClass::slow ? 1 : quick_under_way;
     const auto is_held = [&](const Caller* caller) {
         return std::find(held.begin(), held.end(), caller) != held.end();
     };
     Caller* best = nullptr;
     for (size_t i = range.begin; i < range.end; ++i) {
         Caller* const caller = range.usable[i];
-        if (caller->under_way < limit && !is_held(caller)
+        if (caller->in_flight < limit && !is_held(caller)
             && (best == nullptr || caller->cost_ms < best->cost_ms))
             best = caller;
     }
     for (size_t i = range.end; best == nullptr && i < range.usable.size(); ++i) {
-        if (range.usable[i]->under_way == 0 && !is_held(range.usable[i]))
+        if (range.usable[i]->in_flight == 0 && !is_held(range.usable[i]))
             best = range.usable[i];
     }
     return best;
@@ -190,18 +193,18 @@
 size_t AdvicePool::waiting_of(const std::string& queue) const
 {
     const auto alike
-        = [&queue](const Waiting& entry) { return entry.question.queue == queue; };
-    return static_cast<size_t>(std::count_if(m_waiting.begin(), m_waiting.end(), alike));
+        = [&queue](const PendingQuery& entry) { return entry.question.queue == queue; };
+    return static_cast<size_t>(std::count_if(m_pending.begin(), m_pending.end(), alike));
 }
 
 AdviceBacklog AdvicePool::backlog() const
 {
     AdviceBacklog backlog;
-    for (const Waiting& entry : m_waiting) {
-        const Pace pace = pace_of(entry.question.rule);
-        backlog.fast += pace == Pace::fast ? 1 : 0;
-        backlog.medium += pace == Pace::medium ? 1 : 0;
-        backlog.slow += pace == Pace::slow ? 1 : 0;
+    for (const PendingQuery& entry : m_pending) {
+        const LatencyClass pace = latency_class(entry.question.rule);
+        backlog.fast += pace == LatencyClass::fast ? 1 : 0;
+        backlog.medium += pace == LatencyClass::medium ? 1 : 0;
+        backlog.slow += pace == LatencyClass::slow ? 1 : 0;
     }
     const Millis now = m_loop.now();
     for (const Caller& caller : m_callers)
@@ -214,10 +217,10 @@
     while (dispatch_one()) { }
 }
 
-bool AdvicePool::is_overdue(const AdviceQuestion& question) const
+bool AdvicePool::is_overdue(const AdviceQuery& question) const
 {
-    return question.waits_since > Millis(0)
-        && m_loop.now() - question.waits_since > patience;
+    return question.waiting_since > Millis(0)
+        && m_loop.now() - question.waiting_since > patience;
 }
 
 // Sends the first question in order for which there is a caller; returns whether one was.
@@ -227,19 +230,19 @@
 bool AdvicePool::dispatch_one()
 {
     std::vector<Caller*> held;
-    for (const size_t index : order_of_waiting()) {
-        const Pace pace = pace_of(m_waiting[index].question.rule);
+    for (const size_t index : dispatch_order()) {
+        const LatencyClass pace = latency_class(m_pending[index].question.rule);
         Caller* caller = free_caller(pace, held);
         if (caller == nullptr) {
-            if (is_overdue(m_waiting[index].question)) {
+            if (is_overdue(m_pending[index].question)) {
                 const CallerRange range = callers_for(pace);
                 held.insert(held.end(), range.usable.begin() + std::ptrdiff_t(range.begin),
                             range.usable.begin() + std::ptrdiff_t(range.end));
             }
             continue;
         }
-        Waiting next = std::move(m_waiting[index]);
-        m_waiting.erase(m_waiting.begin() + static_cast<std::ptrdiff_t>(index));
+        PendingQuery next = std::move(m_pending[index]);
+        m_pending.erase(m_pending.begin() + static_cast<std::ptrdiff_t>(index));
         charge(next.question);
         send(*caller, std::move(next));
         return true;
@@ -247,9 +250,9 @@
     return false;
 }
 
-void AdvicePool::send(Caller& caller, Waiting entry)
+void AdvicePool::send(Caller& caller, PendingQuery entry)
 {
-    ++caller.under_way;
+    ++caller.in_flight;
     caller.cost_ms += cost_of(entry.question);
     const std::string address = caller.address;
     const Millis timeout = timeout_of(entry.question);
@@ -277,13 +280,13 @@
 }
 
 void AdvicePool::finished(const std::string& address, const AdviceReply& reply,
-                          const Waiting& entry)
+                          const PendingQuery& entry)
 {
     for (Caller& caller : m_callers) {
         if (caller.address != address)
             continue;
-        caller.under_way = std::max(0, caller.under_way - 1);
-        caller.cost_ms = caller.under_way == 0
+        caller.in_flight = std::max(0, caller.in_flight - 1);
+        caller.cost_ms = caller.in_flight == 0
             ? 0
             : std::max(0.0, caller.cost_ms - cost_of(entry.question));
         if (!reply.tickets)
--- a/src/jobs.lib/advice_pool.h
+++ b/src/jobs.lib/advice_pool.h
@@ -24,13 +24,13 @@
 namespace pathport::jobs {
 
 /// A question to the advisor.
-struct AdviceQuestion {
+struct AdviceQuery {
     std::string queue; ///< Of the job; queues share the callers.
     std::string step; ///< "<job>.<repeat>.<step>".
     std::vector<std::string> workers;
     AdviceRule rule;
     int priority = 0; ///< Of the queue; 0 goes first.
-    Millis waits_since; ///< Since when the step waits; zero when others of it run.
+    Millis waiting_since; ///< Since when the step waits; zero when others of it run.
 };
 
 /// The answer: the tickets, and when the question left.
@@ -57,10 +57,10 @@
     void set_peers(const std::vector<std::string>& addresses);
 
     /// Asks; `done` is called exactly once, later.
-    void ask(AdviceQuestion question, std::function<void(AdviceReply)> done);
+    void ask(AdviceQuery question, std::function<void(AdviceReply)> done);
 
     /// Returns how many questions wait for a free caller.
-    size_t waiting() const { return m_waiting.size(); }
+    size_t waiting() const { return m_pending.size(); }
     /// Returns how many of them are of `queue`.
     size_t waiting_of(const std::string& queue) const;
     AdviceBacklog backlog() const;
@@ -72,12 +72,12 @@
     /// A node through which questions go; the empty address is this node.
     struct Caller {
         std::string address;
-        int under_way = 0;
+        int in_flight = 0;
         double cost_ms = 0; ///< Of the questions under way, at the advisor.
         Millis avoid_until;
     };
-    struct Waiting {
-        AdviceQuestion question;
+    struct PendingQuery {
+        AdviceQuery question;
         std::function<void(AdviceReply)> done;
     };
     /// The callers that may be used, and which of them are for questions of one pace.
@@ -88,38 +88,38 @@
     };
     /// The advisor's time that a queue has had, weighted by its priority and halved every
     /// `share_half_life`.
-    struct Share {
+    struct AdvisorUsage {
         double cost_ms = 0;
         Millis at; ///< When `cost_ms` was last brought up to date.
     };
 
     /// How long the advisor takes for a question.
-    enum class Pace { fast, medium, slow };
+    enum class LatencyClass { fast, medium, slow };
 
-    static Pace pace_of(const AdviceRule& rule);
-    CallerRange callers_for(Pace pace);
+    static LatencyClass latency_class(const AdviceRule& rule);
+    CallerRange callers_for(LatencyClass pace);
     /// Returns a caller for a question of this pace that is not among those held for
     /// others.
-    Caller* free_caller(Pace pace, const std::vector<Caller*>& held);
-    double present_cost(const std::string& queue) const;
-    double present_cost(const Share& share) const;
-    void charge(const AdviceQuestion& question);
-    std::vector<size_t> order_of_waiting() const;
+    Caller* free_caller(LatencyClass pace, const std::vector<Caller*>& held);
+    double decayed_cost(const std::string& queue) const;
+    double decayed_cost(const AdvisorUsage& share) const;
+    void charge(const AdviceQuery& question);
+    std::vector<size_t> dispatch_order() const;
     void dispatch();
-    bool is_overdue(const AdviceQuestion& question) const;
+    bool is_overdue(const AdviceQuery& question) const;
     bool dispatch_one();
-    void send(Caller& caller, Waiting entry);
+    void send(Caller& caller, PendingQuery entry);
     void finished(const std::string& address, const AdviceReply& reply,
-                  const Waiting& entry);
+                  const PendingQuery& entry);
 
     EventLoop& m_loop;
     Advisor& m_advisor;
     PeerClient& m_peers;
     Mechanisms m_mechanisms;
     std::vector<Caller> m_callers;
-    std::deque<Waiting> m_waiting; ///< In order of arrival.
-    std::map<std::string, Share> m_shares; ///< By queue.
-    Share m_urgent; ///< The same of the questions of priority 0, not weighted.
+    std::deque<PendingQuery> m_pending; ///< In order of arrival.
+    std::map<std::string, AdvisorUsage> m_queue_usage; ///< By queue.
+    AdvisorUsage m_urgent_usage; ///< The same of the questions of priority 0, not weighted.
     Lifetime m_lifetime;
 };
 
--- a/src/jobs.lib/advice_pool_test.cpp
+++ b/src/jobs.lib/advice_pool_test.cpp
@@ -59,9 +59,9 @@
     emulator::World& m_world;
 };
 
-AdviceQuestion question_of(const std::string& step, int priority, double decision_ms)
+AdviceQuery question_of(const std::string& step, int priority, double decision_ms)
 {
-    AdviceQuestion question;
+    AdviceQuery question;
     question.step = step;
     question.workers = { "w" };
     question.rule = { decision_ms, 1, 2000 };
@@ -128,7 +128,7 @@
     AdvicePool pool(loop, advisor, peers);
     const auto ask = [&pool](const std::string& queue, const std::string& step,
                              int priority, std::function<void(AdviceReply)> done) {
-        AdviceQuestion question = question_of(step, priority, 400);
+        AdviceQuery question = question_of(step, priority, 400);
         question.queue = queue;
         pool.ask(question, std::move(done));
     };
@@ -166,8 +166,8 @@
         };
         for (int i = 0; i < 6; ++i)
             again({});
-        AdviceQuestion slow = question_of("slow", 1, 500);
-        slow.waits_since = world.now();
+        AdviceQuery slow = question_of("slow", 1, 500);
+        slow.waiting_since = world.now();
         bool answered = false;
         pool.ask(slow, [&](const AdviceReply&) { answered = true; });
         world.run_for(Millis(3000));
@@ -187,8 +187,8 @@
     AdvicePool pool(loop, advisor, peers);
     pool.set_peers({ "b", "c" });
     for (const char* step : { "s1", "s2" }) {
-        AdviceQuestion slow = question_of(step, 1, 500);
-        slow.waits_since = world.now();
+        AdviceQuery slow = question_of(step, 1, 500);
+        slow.waiting_since = world.now();
         pool.ask(slow, [](const AdviceReply&) {});
     }
     world.run_for(Millis(10));
--- a/src/jobs.lib/advice_share_test.cpp
+++ b/src/jobs.lib/advice_share_test.cpp
@@ -13,7 +13,7 @@
 using namespace pathport;
 using namespace pathport::cell_tests;
 
-BOOST_TEST_GLOBAL_FIXTURE(QuietLog);
+BOOST_TEST_GLOBAL_FIXTURE(LogFixture);
 
 namespace {
 
@@ -38,17 +38,17 @@
         configuration.queues.push_back(queue);
     }
     cell.store.configure(configuration);
-    cell.workers.trouble.ticket_life = Millis(2000);
+    cell.workers.injected.ticket_validity = Millis(2000);
     cell.workers.allowed_tenths = 3;
 }
 
-TaskFacts slow_facts(int count, int64_t run_ms, Resources need)
+StepModel slow_facts(int count, int64_t run_ms, Resources need)
 {
-    TaskFacts facts;
+    StepModel facts;
     facts.count = count;
     facts.run_ms = run_ms;
     facts.need = need;
-    facts.advice_ms = slow_advice_ms;
+    facts.advice_latency_ms = slow_advice_ms;
     return facts;
 }
 
--- a/src/jobs.lib/answer_lag.cpp
+++ b/src/jobs.lib/answer_lag.cpp
@@ -22,23 +22,23 @@
 } // namespace
 
 AnswerLag::AnswerLag(Millis least, Millis most)
-    : m_least(least)
-    , m_most(most)
+    : m_min(least)
+    , m_max(most)
 {
 }
 
-void AnswerLag::note(Millis beyond, Millis now)
+void AnswerLag::add_sample(Millis beyond, Millis now)
 {
     const Millis passed = std::min(now - m_noted, longest_fading);
     m_noted = now;
-    m_beyond_ms *= std::exp2(-double(passed.count()) / half_life_ms);
-    m_beyond_ms = std::max(m_beyond_ms, double(beyond.count()));
+    m_lateness_ms *= std::exp2(-double(passed.count()) / half_life_ms);
+    m_lateness_ms = std::max(m_lateness_ms, double(beyond.count()));
 }
 
 Millis AnswerLag::margin() const
 {
-    const Millis wanted(static_cast<int64_t>(std::ceil(reserve * m_beyond_ms)));
-    return std::clamp(wanted, m_least, m_most);
+    const Millis wanted(static_cast<int64_t>(std::ceil(reserve * m_lateness_ms)));
+    return std::clamp(wanted, m_min, m_max);
 }
 
 } // namespace pathport::jobs
--- a/src/jobs.lib/answer_lag.h
+++ b/src/jobs.lib/answer_lag.h
@@ -20,14 +20,14 @@
     AnswerLag(Millis least, Millis most);
 
     /// An answer came `beyond` the time of its call; below zero when it was in time.
-    void note(Millis beyond, Millis now);
+    void add_sample(Millis beyond, Millis now);
     /// Returns how long an answer should be waited for beyond the time of its call.
     Millis margin() const;
 
 private:
-    Millis m_least;
-    Millis m_most;
-    double m_beyond_ms = 0; ///< The latest answer of all, faded by those since.
+    Millis m_min;
+    Millis m_max;
+    double m_lateness_ms = 0; ///< The latest answer of all, faded by those since.
     Millis m_noted; ///< When the last one came.
 };
 
--- a/src/jobs.lib/blamed_tasks_test.cpp
+++ b/src/jobs.lib/blamed_tasks_test.cpp
@@ -14,11 +14,11 @@
 using namespace pathport;
 using namespace pathport::cell_tests;
 
-BOOST_TEST_GLOBAL_FIXTURE(QuietLog);
+BOOST_TEST_GLOBAL_FIXTURE(LogFixture);
 
 BOOST_AUTO_TEST_CASE(workers_that_restart_by_themselves_tell_against_no_task)
 {
     constexpr int style = 9;
     for (const uint64_t seed : { 941009, 941015 })
-        expect_schedules_clean(style, seed, 1);
+        expect_no_violations(style, seed, 1);
 }
--- a/src/jobs.lib/bounds_test.cpp
+++ b/src/jobs.lib/bounds_test.cpp
@@ -14,16 +14,16 @@
 using namespace pathport;
 using namespace pathport::cell_tests;
 
-BOOST_TEST_GLOBAL_FIXTURE(QuietLog);
+BOOST_TEST_GLOBAL_FIXTURE(LogFixture);
 
 namespace {
 
 constexpr int64_t bound_cpus = 4000;
 const std::string key = "team-key";
 
-emulator::WorkspaceFacts team(int64_t cpus)
+emulator::WorkspaceSetup team(int64_t cpus)
 {
-    emulator::WorkspaceFacts facts;
+    emulator::WorkspaceSetup facts;
     facts.workspace.name = "team";
     facts.workspace.bound = { cpus, 0, 0 };
     facts.workspace.weight = 50;
@@ -41,7 +41,7 @@
         cell.world.run_for(Millis(4000));
     }
 
-    void submit(const std::string& id, const TaskFacts& facts)
+    void submit(const std::string& id, const StepModel& facts)
     {
         cell_tests::submit(cell, "q0", id, { facts }, key);
     }
@@ -51,14 +51,14 @@
     {
         const auto ids = cell.workers.ids();
         for (size_t i = 0; i < ids.size(); i += 2)
-            cell.workers.cut(ids[i], span);
+            cell.workers.partition(ids[i], span);
         cell.kill(cell.leader(), Millis(500));
     }
 
     void expect_within(const std::string& what) const
     {
-        BOOST_TEST(cell.workers.breaches().empty(),
-                   what << joined(cell.workers.breaches()));
+        BOOST_TEST(cell.workers.violations().empty(),
+                   what << join_lines(cell.workers.violations()));
     }
 
     Cell cell;
@@ -70,10 +70,10 @@
 {
     for (const uint64_t seed : { 1, 2, 3, 4 }) {
         BoundedCell bounded(seed);
-        bounded.submit("first", simple_facts(4, 5500));
+        bounded.submit("first", one_core_step(4, 5500));
         bounded.cell.world.run_for(Millis(600));
         bounded.change_leader_unseen(Millis(4000));
-        bounded.submit("second", simple_facts(4, 1500));
+        bounded.submit("second", one_core_step(4, 1500));
         bounded.cell.world.run_for(Millis(20000));
         bounded.expect_within("seed " + std::to_string(seed));
         BOOST_TEST(bounded.cell.workers.all_done("first", 0, 4, false));
@@ -85,12 +85,12 @@
 {
     for (const uint64_t seed : { 1, 2, 3, 4 }) {
         BoundedCell bounded(seed);
-        bounded.submit("first", simple_facts(4, 5500));
+        bounded.submit("first", one_core_step(4, 5500));
         bounded.cell.world.run_for(Millis(600));
         bounded.change_leader_unseen(Millis(4500));
         bounded.cell.world.run_for(Millis(1200));
         bounded.cell.cancel("first");
-        bounded.submit("second", simple_facts(4, 1500));
+        bounded.submit("second", one_core_step(4, 1500));
         bounded.cell.world.run_for(Millis(20000));
         bounded.expect_within("seed " + std::to_string(seed));
         BOOST_TEST(bounded.cell.workers.all_done("second", 0, 4, false));
@@ -100,15 +100,15 @@
 BOOST_AUTO_TEST_CASE(a_bound_that_falls_stops_nothing_and_starts_nothing)
 {
     BoundedCell bounded(5);
-    bounded.submit("first", simple_facts(4, 6000));
+    bounded.submit("first", one_core_step(4, 6000));
     bounded.cell.world.run_for(Millis(600));
     const int64_t starts = bounded.cell.workers.starts();
     bounded.cell.configure_workspaces({ team(1000) });
-    bounded.submit("second", simple_facts(2, 500));
+    bounded.submit("second", one_core_step(2, 500));
     bounded.cell.world.run_for(Millis(4500));
     BOOST_TEST(bounded.cell.workers.starts() == starts);
     for (int i = 0; i < 4; ++i)
-        BOOST_TEST(bounded.cell.workers.runs({ "first", 0, 0, i }));
+        BOOST_TEST(bounded.cell.workers.is_running({ "first", 0, 0, i }));
     bounded.cell.world.run_for(Millis(6000));
     BOOST_TEST(bounded.cell.workers.all_done("second", 0, 2, false));
     bounded.expect_within("a bound that fell");
@@ -118,12 +118,12 @@
 BOOST_AUTO_TEST_CASE(a_wide_gang_gets_its_turn_below_the_bound)
 {
     BoundedCell bounded(6);
-    TaskFacts gang = simple_facts(3, 800);
+    StepModel gang = one_core_step(3, 800);
     gang.gang = true;
     for (int i = 0; i < 60; ++i) {
         if (i == 12)
             bounded.submit("gang", gang);
-        bounded.submit("narrow" + std::to_string(i), simple_facts(1, 900));
+        bounded.submit("narrow" + std::to_string(i), one_core_step(1, 900));
         bounded.cell.world.run_for(Millis(250));
     }
     BOOST_TEST(bounded.cell.workers.all_done("gang", 0, 3, true));
@@ -133,10 +133,10 @@
 BOOST_AUTO_TEST_CASE(what_could_never_start_is_refused_at_once)
 {
     BoundedCell bounded(7);
-    TaskFacts gang = simple_facts(5, 800);
+    StepModel gang = one_core_step(5, 800);
     gang.gang = true;
     bounded.submit("gang", gang);
-    bounded.submit("wide", simple_facts(5, 800));
+    bounded.submit("wide", one_core_step(5, 800));
     bounded.cell.world.run_for(Millis(6000));
     BOOST_TEST(!bounded.cell.jobs().at("gang").accepted);
     BOOST_TEST(bounded.cell.workers.all_done("wide", 0, 5, false));
--- a/src/jobs.lib/callers_schedules_test.cpp
+++ b/src/jobs.lib/callers_schedules_test.cpp
@@ -17,12 +17,12 @@
 using namespace pathport;
 using namespace pathport::cell_tests;
 
-BOOST_TEST_GLOBAL_FIXTURE(QuietLog);
+BOOST_TEST_GLOBAL_FIXTURE(LogFixture);
 
 BOOST_AUTO_TEST_CASE(callers_are_told_apart_and_bounds_kept_in_random_schedules)
 {
     constexpr uint64_t first = 970000;
     constexpr uint64_t schedules = 4;
     for (const int style : { 16, 17, 18 })
-        expect_schedules_clean(style, first, schedules);
+        expect_no_violations(style, first, schedules);
 }
--- a/src/jobs.lib/room_changes_test.cpp
+++ b/src/jobs.lib/capacity_changes_test.cpp
@@ -9,14 +9,14 @@
 #include <boost/test/unit_test.hpp>
 
 #include "cell_fixture.h"
-#include "site_fixture.h"
+#include "multi_worker_fixture.h"
 
 #include <functional>
 
 using namespace pathport;
 using namespace pathport::cell_tests;
 
-BOOST_TEST_GLOBAL_FIXTURE(QuietLog);
+BOOST_TEST_GLOBAL_FIXTURE(LogFixture);
 
 namespace {
 
@@ -30,8 +30,8 @@
     for (int64_t at = 0; at < span.count(); at += interval) {
         cell.world.after(Millis(at), [&cell, at] {
             const std::string number = std::to_string(at);
-            submit(cell, "q0", "short" + number, { simple_facts(4, 300) });
-            submit(cell, "a1", "long" + number, { simple_facts(3, 2000) });
+            submit(cell, "q0", "short" + number, { one_core_step(4, 300) });
+            submit(cell, "a1", "long" + number, { one_core_step(3, 2000) });
         });
     }
 }
@@ -56,8 +56,8 @@
         cell.world.run_for(Millis(1500 + int64_t(seed) * 37));
         course(cell);
         cell.world.run_for(Millis(60000));
-        const auto wrong = cell.verdict();
-        BOOST_TEST(wrong.empty(), "seed " << seed << joined(wrong));
+        const auto wrong = cell.final_violations();
+        BOOST_TEST(wrong.empty(), "seed " << seed << join_lines(wrong));
     }
 }
 
@@ -89,8 +89,8 @@
 BOOST_AUTO_TEST_CASE(while_records_take_long)
 {
     expect_none_wrong([](Cell& cell) {
-        cell.store.trouble.slow = 100;
-        cell.world.after(Millis(9000), [&cell] { cell.store.trouble.slow = 1; });
+        cell.store.injected.latency_factor = 100;
+        cell.world.after(Millis(9000), [&cell] { cell.store.injected.latency_factor = 1; });
         cell.world.after(Millis(1500), [&cell] { shrink_for_a_while(cell); });
     });
 }
@@ -101,11 +101,11 @@
 {
     for (const int64_t after : { 300, 900, 1500, 2500 }) {
         expect_none_wrong([after](Cell& cell) {
-            cell.store.trouble.silent = true;
-            cell.disturbed(Millis(7000), Millis(8000));
+            cell.store.injected.unresponsive = true;
+            cell.note_disturbance(Millis(7000), Millis(8000));
             cell.world.after(Millis(after), [&cell] { shrink_for_a_while(cell); });
             cell.world.after(Millis(after + 4700),
-                             [&cell] { cell.store.trouble.silent = false; });
+                             [&cell] { cell.store.injected.unresponsive = false; });
         });
     }
 }
@@ -115,7 +115,7 @@
 {
     for (const int64_t after : { 0, 2, 4, 6, 8 }) {
         expect_none_wrong([after](Cell& cell) {
-            cell.disturbed(Millis(7000), Millis(8000));
+            cell.note_disturbance(Millis(7000), Millis(8000));
             cell.world.after(Millis(after), [&cell] {
                 cell.suspend(cell.leader(), Millis(4700));
                 shrink_for_a_while(cell);
@@ -136,8 +136,9 @@
 BOOST_AUTO_TEST_CASE(while_answers_are_lost)
 {
     expect_none_wrong([](Cell& cell) {
-        cell.workers.trouble.unanswered = 0.2;
-        cell.world.after(Millis(6000), [&cell] { cell.workers.trouble.unanswered = 0; });
+        cell.workers.injected.unanswered_share = 0.2;
+        cell.world.after(Millis(6000),
+                         [&cell] { cell.workers.injected.unanswered_share = 0; });
         shrink_for_a_while(cell);
     });
 }
@@ -156,29 +157,29 @@
 // has shrunk: the order would take the worker over it.
 BOOST_AUTO_TEST_CASE(before_the_order_for_a_choice_is_sent)
 {
-    jobs::Site site({ "w1" }, jobs::job_of("job1"), { { "w1", 7 } });
-    site.serve(Millis(500));
+    jobs::MultiWorkerTakeOver site({ "w1" }, jobs::job_of("job1"), { { "w1", 7 } });
+    site.answer_polls(Millis(500));
     Resources room { 4000, 4000, 0 };
     int readings = 0;
     site.store.list_workers = [&room, &readings] {
         ++readings;
-        jobs::WorkerInfo info = jobs::Site::worker_info("w1");
+        jobs::WorkerInfo info = jobs::MultiWorkerTakeOver::worker_info("w1");
         info.capacity = room;
         return std::vector<jobs::WorkerInfo> { info };
     };
     while (readings == 0)
-        site.serve(Millis(10), Millis(10));
+        site.answer_polls(Millis(10), Millis(10));
     // The list is read again soon; the record of what is chosen now takes longer.
-    site.serve(Millis(330), Millis(10));
+    site.answer_polls(Millis(330), Millis(10));
     room = { 500, 600, 0 }; // Of which the first job's task takes most.
     site.scheduler->job_announced(jobs::job_of("job2"), 1000);
-    site.store.trouble.slow = 100;
-    site.serve(Millis(150), Millis(10));
-    site.store.trouble.slow = 1;
+    site.store.injected.latency_factor = 100;
+    site.answer_polls(Millis(150), Millis(10));
+    site.store.injected.latency_factor = 1;
     const jobs::TaskId second { "job2", 0, 0, 0 };
-    site.serve(Millis(3000));
-    BOOST_TEST(site.starts_of(second) == 0U);
+    site.answer_polls(Millis(3000));
+    BOOST_TEST(site.count_starts(second) == 0U);
     room = { 4000, 4000, 0 };
-    site.serve(Millis(3000));
-    BOOST_TEST(site.starts_of(second) == 1U);
+    site.answer_polls(Millis(3000));
+    BOOST_TEST(site.count_starts(second) == 1U);
 }
--- a/src/jobs.lib/room_table.cpp
+++ b/src/jobs.lib/capacity_table.cpp
@@ -1,39 +1,40 @@
 // Copyright the pathport authors.
 // SPDX-License-Identifier: Apache-2.0
 
-#include "room_table.h"
+#include "capacity_table.h"
 
 #include <algorithm>
 #include <tuple>
 
 namespace pathport::jobs {
 
-bool RoomRow::operator==(const RoomRow& other) const
+bool CapacityRow::operator==(const CapacityRow& other) const
 {
     return free == other.free && capacity == other.capacity
-        && std::tie(service, at_most, open, slow, kept_for)
-        == std::tie(other.service, other.at_most, other.open, other.slow, other.kept_for);
+        && std::tie(service, max_new_tasks, open, slow, kept_for)
+        == std::tie(other.service, other.max_new_tasks, other.open, other.slow,
+                    other.kept_for);
 }
 
-WorkerNumber RoomTable::add()
+WorkerNumber CapacityTable::add()
 {
     m_rows.emplace_back();
     return static_cast<WorkerNumber>(m_rows.size() - 1);
 }
 
-void RoomTable::drop(WorkerNumber number)
+void CapacityTable::close_row(WorkerNumber number)
 {
     m_rows[number].open = false;
-    m_rows[number].at_most = 0;
+    m_rows[number].max_new_tasks = 0;
 }
 
-void RoomTable::set(WorkerNumber number, RoomRow row)
+void CapacityTable::set(WorkerNumber number, CapacityRow row)
 {
     row.kept_for = m_rows[number].kept_for;
     m_rows[number] = row;
 }
 
-void RoomTable::keep(WorkerNumber number, const Step& step)
+void CapacityTable::keep(WorkerNumber number, const Step& step)
 {
     if (m_rows[number].kept_for != nullptr)
         return;
@@ -41,7 +42,7 @@
     m_kept.push_back(number);
 }
 
-void RoomTable::release_kept()
+void CapacityTable::release_kept()
 {
     for (const WorkerNumber number : m_kept)
         m_rows[number].kept_for = nullptr;
@@ -54,12 +55,12 @@
     const Resources& need = step.need;
     const bool none = at_most <= 0 || free.memory_mb < need.memory_mb
         || free.accelerators < need.accelerators
-        || (!step.fills && free.cpu_millis < need.cpu_millis);
+        || (!step.best_effort_cpu && free.cpu_millis < need.cpu_millis);
     if (none)
         return 0;
-    WorkerRoom room;
+    PlacementOption room;
     room.free = free;
-    room.at_most = std::min(needed, at_most);
+    room.max_new_tasks = std::min(needed, at_most);
     return tasks_that_fit(step, room);
 }
 
--- a/src/jobs.lib/room_table.h
+++ b/src/jobs.lib/capacity_table.h
@@ -22,34 +22,34 @@
 using WorkerNumber = uint32_t;
 
 /// One worker as a look for room sees it.
-struct RoomRow {
+struct CapacityRow {
     Resources free;
     Resources capacity;
     int service = 0; ///< The number of its service, as RoomTable gives it.
-    int at_most = 0; ///< Tasks that may be added for other reasons than room.
+    int max_new_tasks = 0; ///< Tasks that may be added for other reasons than room.
     bool open = false; ///< It may be given tasks.
     bool slow = false; ///< Slower than others; urgent work should go elsewhere.
     const Step* kept_for = nullptr; ///< Nobody else may use it in the present pass.
 
-    bool operator==(const RoomRow& other) const;
+    bool operator==(const CapacityRow& other) const;
     /// Returns whether `step` may use what is free.
-    bool free_for(const Step& step) const
+    bool available_to(const Step& step) const
     {
         return kept_for == nullptr || kept_for == &step;
     }
 };
 
 /// The rows of all workers.
-class RoomTable {
+class CapacityTable {
 public:
     /// Adds a closed row and returns its number.
     WorkerNumber add();
     /// Closes a row for good.
-    void drop(WorkerNumber number);
+    void close_row(WorkerNumber number);
     /// Returns a row for reading; the number must have come from add().
-    const RoomRow& row(WorkerNumber number) const { return m_rows[number]; }
+    const CapacityRow& row(WorkerNumber number) const { return m_rows[number]; }
     /// Replaces a row, but for whom it is kept for.
-    void set(WorkerNumber number, RoomRow row);
+    void set(WorkerNumber number, CapacityRow row);
     /// Keeps a worker for a step until release_kept(); does nothing when it is kept
     /// already.
     void keep(WorkerNumber number, const Step& step);
@@ -61,7 +61,7 @@
     size_t size() const { return m_rows.size(); }
 
 private:
-    std::vector<RoomRow> m_rows; ///< By number.
+    std::vector<CapacityRow> m_rows; ///< By number.
     std::vector<WorkerNumber> m_kept;
 };
 
--- a/src/jobs.lib/room_table_test.cpp
+++ b/src/jobs.lib/capacity_table_test.cpp
@@ -4,23 +4,23 @@
 /// \file
 /// The table of what workers have to offer.
 
-#define BOOST_TEST_MODULE room_table
+#define BOOST_TEST_MODULE capacity_table
 #include <boost/test/unit_test.hpp>
 
+#include "capacity_table.h"
 #include "job_record.h"
-#include "room_table.h"
 
 using namespace pathport;
 using namespace pathport::jobs;
 
 namespace {
 
-RoomRow open_row(int64_t cpu_millis)
+CapacityRow open_row(int64_t cpu_millis)
 {
-    RoomRow row;
+    CapacityRow row;
     row.capacity = { 16000, 65536, 0 };
     row.free = { cpu_millis, 65536, 0 };
-    row.at_most = max_tasks_per_step;
+    row.max_new_tasks = max_tasks_per_step;
     row.open = true;
     return row;
 }
@@ -36,34 +36,34 @@
 
 BOOST_AUTO_TEST_CASE(numbers_rise_and_a_dropped_row_stays_closed)
 {
-    RoomTable table;
+    CapacityTable table;
     const WorkerNumber first = table.add();
     table.set(first, open_row(16000));
-    table.drop(first);
+    table.close_row(first);
     const WorkerNumber second = table.add();
     BOOST_TEST(second > first);
     BOOST_TEST(!table.row(first).open);
-    BOOST_TEST(table.row(first).at_most == 0);
+    BOOST_TEST(table.row(first).max_new_tasks == 0);
     BOOST_TEST(!table.row(second).open);
 }
 
 BOOST_AUTO_TEST_CASE(a_kept_worker_is_free_for_its_step_only)
 {
-    RoomTable table;
+    CapacityTable table;
     const WorkerNumber worker = table.add();
     table.set(worker, open_row(16000));
     const Step gang;
     const Step other;
     table.keep(worker, gang);
     table.keep(worker, other);
-    BOOST_TEST(table.row(worker).free_for(gang));
-    BOOST_TEST(!table.row(worker).free_for(other));
+    BOOST_TEST(table.row(worker).available_to(gang));
+    BOOST_TEST(!table.row(worker).available_to(other));
     BOOST_TEST(table.kept_count() == 1U);
     // What is placed or reported meanwhile does not end the keeping.
     table.set(worker, open_row(9000));
-    BOOST_TEST(!table.row(worker).free_for(other));
+    BOOST_TEST(!table.row(worker).available_to(other));
     table.release_kept();
-    BOOST_TEST(table.row(worker).free_for(other));
+    BOOST_TEST(table.row(worker).available_to(other));
     BOOST_TEST(table.kept_count() == 0U);
 }
 
@@ -75,10 +75,10 @@
             for (int64_t free_memory = 0; free_memory <= 8000; free_memory += 1000) {
                 for (const int at_most : { 0, 1, 3, 100 }) {
                     StepSpec spec = step_of(2700);
-                    spec.fills = fills;
-                    WorkerRoom room;
+                    spec.best_effort_cpu = fills;
+                    PlacementOption room;
                     room.free = { free_cpu, free_memory, 0 };
-                    room.at_most = std::min(4, at_most);
+                    room.max_new_tasks = std::min(4, at_most);
                     BOOST_TEST(tasks_that_fit_into(spec, room.free, 4, at_most)
                                == tasks_that_fit(spec, room));
                 }
--- a/src/jobs.lib/cell_fixture.h
+++ b/src/jobs.lib/cell_fixture.h
@@ -19,12 +19,12 @@
 namespace pathport::cell_tests {
 
 using emulator::Cell;
-using emulator::TaskFacts;
+using emulator::StepModel;
 using emulator::WorkerFault;
 
 /// Sets the level of the log, from the environment if it names one.
-struct QuietLog {
-    QuietLog()
+struct LogFixture {
+    LogFixture()
     {
         const char* const level = std::getenv("PATHPORT_LOG");
         start_log("test", log_level_from(level == nullptr ? "error" : level));
@@ -32,7 +32,7 @@
 };
 
 /// Returns the lines as one text.
-inline std::string joined(const std::vector<std::string>& lines)
+inline std::string join_lines(const std::vector<std::string>& lines)
 {
     std::string text;
     for (const std::string& line : lines)
@@ -61,23 +61,23 @@
         configuration.queues.push_back(queue);
     }
     cell.store.configure(configuration);
-    cell.workers.trouble.ticket_life = Millis(1500);
-    cell.workers.trouble.dead_are_silent = true;
+    cell.workers.injected.ticket_validity = Millis(1500);
+    cell.workers.injected.dead_are_unresponsive = true;
 }
 
 /// Returns the specification that goes with the facts.
-inline jobs::JobSpec spec_of(const std::vector<TaskFacts>& facts)
+inline jobs::JobSpec spec_of(const std::vector<StepModel>& facts)
 {
     jobs::JobSpec spec;
     spec.payload = "p";
-    for (const TaskFacts& step : facts) {
+    for (const StepModel& step : facts) {
         jobs::StepSpec entry;
         entry.count = step.count;
         entry.need = step.need;
         entry.gang = step.gang;
         entry.after = step.after;
         entry.expected_ms = step.run_ms;
-        entry.lasting = step.lasting;
+        entry.long_running = step.lasting;
         entry.saves_progress = step.saves_progress;
         entry.max_per_worker = step.max_per_worker;
         spec.steps.push_back(entry);
@@ -87,10 +87,10 @@
 
 /// Hands in a job on the queue of that name.
 inline void submit(Cell& cell, const std::string& queue, const std::string& id,
-                   std::vector<TaskFacts> steps, const std::string& key = "")
+                   std::vector<StepModel> steps, const std::string& key = "")
 {
     const jobs::Queue& found = *cell.store.configuration().by_name(queue);
-    for (TaskFacts& facts : steps) {
+    for (StepModel& facts : steps) {
         facts.payload = "p";
         facts.advised = found.advice.has_value();
         facts.max_failures = found.max_failures;
@@ -99,9 +99,9 @@
 }
 
 /// Returns a step of tasks in the sizes of the users' small ones.
-inline TaskFacts small_facts(int count, int64_t run_ms)
+inline StepModel small_step(int count, int64_t run_ms)
 {
-    TaskFacts facts;
+    StepModel facts;
     facts.count = count;
     facts.run_ms = run_ms;
     facts.need = { 450, 500, 0 };
@@ -110,7 +110,7 @@
 }
 
 /// Hands in a job of one step on the cell's own queue without advice.
-inline void submit_plain(Cell& cell, const std::string& id, const TaskFacts& facts)
+inline void submit_plain(Cell& cell, const std::string& id, const StepModel& facts)
 {
     cell.submit(id, spec_of({ facts }), { facts }, false);
 }
@@ -123,9 +123,9 @@
 }
 
 /// Returns a step of small tasks.
-inline TaskFacts simple_facts(int count, int64_t run_ms)
+inline StepModel one_core_step(int count, int64_t run_ms)
 {
-    TaskFacts facts;
+    StepModel facts;
     facts.count = count;
     facts.run_ms = run_ms;
     facts.need = { 1000, 1000, 0 };
--- a/src/jobs.lib/cell_test.cpp
+++ b/src/jobs.lib/cell_test.cpp
@@ -33,9 +33,9 @@
 }
 
 /// Returns a step of small tasks with the payload of all jobs here.
-TaskFacts payload_facts(int count, int64_t run_ms)
+StepModel payload_facts(int count, int64_t run_ms)
 {
-    TaskFacts facts = simple_facts(count, run_ms);
+    StepModel facts = one_core_step(count, run_ms);
     facts.payload = "p";
     return facts;
 }
@@ -43,20 +43,21 @@
 /// Hands in a job with random steps.
 void submit_random(Cell& cell, int number)
 {
-    std::vector<TaskFacts> steps;
-    const auto count = 1 + cell.world.below(3);
+    std::vector<StepModel> steps;
+    const auto count = 1 + cell.world.random_below(3);
     for (uint64_t i = 0; i < count; ++i) {
-        TaskFacts facts = payload_facts(1 + int(cell.world.below(5)),
-                                        100 + int64_t(cell.world.below(2500)));
+        StepModel facts = payload_facts(1 + int(cell.world.random_below(5)),
+                                        100 + int64_t(cell.world.random_below(2500)));
         facts.gang = cell.world.chance(0.3);
-        facts.need.cpu_millis = 500 + int64_t(cell.world.below(2000));
-        facts.fails = cell.world.chance(0.2) ? 1 + int(cell.world.below(3)) : 0;
+        facts.need.cpu_millis = 500 + int64_t(cell.world.random_below(2000));
+        facts.failing_runs
+            = cell.world.chance(0.2) ? 1 + int(cell.world.random_below(3)) : 0;
         if (i > 0 && cell.world.chance(0.7))
             facts.after = { int(i) - 1 };
         steps.push_back(facts);
     }
     const bool advised = cell.world.chance(0.5);
-    for (TaskFacts& facts : steps) {
+    for (StepModel& facts : steps) {
         // A wide gang might not fit on the workers that advice allows.
         if (facts.gang && advised)
             facts.count = std::min(facts.count, 3);
@@ -70,29 +71,29 @@
     std::string leader = cell.leader();
     if (!leader.empty() && cell.world.chance(0.5))
         return leader;
-    return names[cell.world.below(names.size())];
+    return names[cell.world.random_below(names.size())];
 }
 
 std::string random_worker(Cell& cell)
 {
     const auto ids = cell.workers.ids();
-    return ids[cell.world.below(ids.size())];
+    return ids[cell.world.random_below(ids.size())];
 }
 
 /// Brings about one trouble, drawn at random.
 void trouble(Cell& cell)
 {
-    const Millis span(500 + int64_t(cell.world.below(6000)));
-    switch (cell.world.below(16)) {
+    const Millis span(500 + int64_t(cell.world.random_below(6000)));
+    switch (cell.world.random_below(16)) {
     case 0:
     case 1:
-        cell.kill(random_node(cell), Millis(200 + int64_t(cell.world.below(3000))));
+        cell.kill(random_node(cell), Millis(200 + int64_t(cell.world.random_below(3000))));
         break;
     case 2:
         cell.freeze(random_node(cell), span);
         break;
     case 3:
-        cell.cut_peers(random_node(cell), span);
+        cell.partition_from_peers(random_node(cell), span);
         break;
     case 4:
         cell.stop(random_node(cell), Millis(500));
@@ -101,36 +102,36 @@
         cell.workers.crash(random_worker(cell), span);
         break;
     case 6:
-        cell.workers.cut(random_worker(cell), span);
+        cell.workers.partition(random_worker(cell), span);
         break;
     case 7:
-        cell.workers.cut(random_worker(cell), span, random_node(cell));
+        cell.workers.partition(random_worker(cell), span, random_node(cell));
         break;
     case 8:
-        cell.workers.trouble.unanswered = 0.1;
-        cell.world.after(span, [&cell] { cell.workers.trouble.unanswered = 0; });
+        cell.workers.injected.unanswered_share = 0.1;
+        cell.world.after(span, [&cell] { cell.workers.injected.unanswered_share = 0; });
         break;
     case 9:
-        cell.store.trouble.busy = true;
-        cell.world.after(span, [&cell] { cell.store.trouble.busy = false; });
+        cell.store.injected.refuse_calls = true;
+        cell.world.after(span, [&cell] { cell.store.injected.refuse_calls = false; });
         break;
     case 10:
-        cell.store.trouble.silent = true;
-        cell.world.after(span, [&cell] { cell.store.trouble.silent = false; });
+        cell.store.injected.unresponsive = true;
+        cell.world.after(span, [&cell] { cell.store.injected.unresponsive = false; });
         break;
     case 11:
-        cell.store.trouble.slow = 60;
-        cell.world.after(span, [&cell] { cell.store.trouble.slow = 1; });
+        cell.store.injected.latency_factor = 60;
+        cell.world.after(span, [&cell] { cell.store.injected.latency_factor = 1; });
         break;
     case 12:
-        cell.store.trouble.lose = 0.35;
-        cell.store.trouble.late = cell.world.chance(0.5);
-        cell.world.after(span, [&cell] { cell.store.trouble.lose = 0; });
+        cell.store.injected.lost_write_replies = 0.35;
+        cell.store.injected.delay_lost_writes = cell.world.chance(0.5);
+        cell.world.after(span, [&cell] { cell.store.injected.lost_write_replies = 0; });
         break;
     case 13: {
         const std::string node = random_node(cell);
-        auto& nodes = cell.world.chance(0.5) ? cell.store.trouble.refused_nodes
-                                             : cell.store.trouble.cut_nodes;
+        auto& nodes = cell.world.chance(0.5) ? cell.store.injected.refused_nodes
+                                             : cell.store.injected.partitioned_nodes;
         nodes.insert(node);
         cell.world.after(span, [&nodes, node] { nodes.erase(node); });
         break;
@@ -140,7 +141,7 @@
         break;
     default:
         for (const std::string& node : cell.node_names())
-            cell.kill(node, Millis(300 + int64_t(cell.world.below(600))));
+            cell.kill(node, Millis(300 + int64_t(cell.world.random_below(600))));
         break;
     }
 }
@@ -155,18 +156,18 @@
         if (cell.world.chance(0.35))
             submit_random(cell, number++);
         if (cell.world.chance(0.03) && number > 0)
-            cell.cancel("job" + std::to_string(cell.world.below(uint64_t(number))));
+            cell.cancel("job" + std::to_string(cell.world.random_below(uint64_t(number))));
         if (cell.world.chance(0.04))
             trouble(cell);
         cell.world.run_for(Millis(100));
     }
     cell.world.run_for(Millis(40000));
-    return cell.verdict();
+    return cell.final_violations();
 }
 
 } // namespace
 
-BOOST_TEST_GLOBAL_FIXTURE(QuietLog);
+BOOST_TEST_GLOBAL_FIXTURE(LogFixture);
 
 BOOST_AUTO_TEST_CASE(calm_cell_completes_all_jobs)
 {
@@ -177,8 +178,8 @@
         cell.world.run_for(Millis(150));
     }
     cell.world.run_for(Millis(20000));
-    const auto wrong = cell.verdict();
-    BOOST_TEST(wrong.empty(), joined(wrong));
+    const auto wrong = cell.final_violations();
+    BOOST_TEST(wrong.empty(), join_lines(wrong));
     for (const auto& [id, job] : cell.jobs())
         BOOST_TEST(job.accepted, id);
 }
@@ -192,14 +193,14 @@
     for (uint64_t seed = 1; seed <= 80; ++seed) {
         Cell cell(seed, 3, 1);
         cell.world.run_for(Millis(1500));
-        TaskFacts facts = payload_facts(1, 300);
-        facts.fails = 2; // Two of the three failures that a task may have.
+        StepModel facts = payload_facts(1, 300);
+        facts.failing_runs = 2; // Two of the three failures that a task may have.
         cell.submit("job0", spec_of({ facts }), { facts }, false);
         cell.world.run_for(Millis(320 + int64_t(seed)));
         cell.kill(cell.leader(), Millis(5000));
         cell.world.run_for(Millis(20000));
-        const auto wrong = cell.verdict();
-        BOOST_TEST(wrong.empty(), "seed " << seed << joined(wrong));
+        const auto wrong = cell.final_violations();
+        BOOST_TEST(wrong.empty(), "seed " << seed << join_lines(wrong));
     }
 }
 
@@ -223,7 +224,7 @@
     };
     for (const uint64_t seed : seeds) {
         const auto wrong = run_schedule(seed);
-        BOOST_TEST(wrong.empty(), "seed " << seed << joined(wrong));
+        BOOST_TEST(wrong.empty(), "seed " << seed << join_lines(wrong));
     }
 }
 
@@ -233,13 +234,13 @@
 {
     Cell cell(4, 1, 3);
     cell.world.run_for(Millis(1500));
-    TaskFacts facts = payload_facts(3, 1000);
+    StepModel facts = payload_facts(3, 1000);
     facts.gang = true;
-    facts.slowest_ms = 8000;
+    facts.slowest_member_ms = 8000;
     cell.submit("job0", spec_of({ facts }), { facts }, false);
     cell.world.run_for(Millis(12000));
-    const auto wrong = cell.verdict();
-    BOOST_TEST(wrong.empty(), joined(wrong));
+    const auto wrong = cell.final_violations();
+    BOOST_TEST(wrong.empty(), join_lines(wrong));
     BOOST_TEST(cell.workers.starts() == 3);
 }
 
@@ -250,15 +251,15 @@
     for (const bool gang : { false, true }) {
         Cell cell(5, 2, 3);
         cell.world.run_for(Millis(1500));
-        TaskFacts facts = payload_facts(6, 4000);
+        StepModel facts = payload_facts(6, 4000);
         facts.gang = gang;
         facts.need.cpu_millis = 3000;
         cell.submit("job0", spec_of({ facts }), { facts }, false);
         cell.world.run_for(Millis(1000));
-        cell.workers.vanish("w1");
+        cell.workers.partition_for_good("w1");
         cell.world.run_for(Millis(30000));
-        const auto wrong = cell.verdict();
-        BOOST_TEST(wrong.empty(), joined(wrong));
+        const auto wrong = cell.final_violations();
+        BOOST_TEST(wrong.empty(), join_lines(wrong));
     }
 }
 
@@ -289,19 +290,19 @@
             cell.world.run_for(Millis(3000));
             const std::string first = cell.leader();
             const std::string turned_away = first == "n1" ? "n2" : "n1";
-            cell.store.trouble.refused_nodes = { turned_away };
+            cell.store.injected.refused_nodes = { turned_away };
             if (leader_dies)
                 cell.kill(first, Millis(20000));
             else
-                cell.store.trouble.refused_nodes.insert(first);
+                cell.store.injected.refused_nodes.insert(first);
             cell.world.run_for(Millis(2500));
-            const TaskFacts facts = payload_facts(1, 500);
+            const StepModel facts = payload_facts(1, 500);
             const auto status
                 = cell.submit_at(turned_away, "job0", spec_of({ facts }), { facts });
             BOOST_TEST((status == jobs::ClientStatus::ok), "seed " << seed);
             cell.world.run_for(Millis(10000));
-            const auto wrong = cell.verdict();
-            BOOST_TEST(wrong.empty(), "seed " << seed << joined(wrong));
+            const auto wrong = cell.final_violations();
+            BOOST_TEST(wrong.empty(), "seed " << seed << join_lines(wrong));
         }
     }
 }
@@ -329,8 +330,8 @@
         cell.submit_again(id);
     cell.world.run_for(Millis(10000));
     BOOST_TEST(cell.workers.starts() == starts);
-    const auto wrong = cell.verdict();
-    BOOST_TEST(wrong.empty(), joined(wrong));
+    const auto wrong = cell.final_violations();
+    BOOST_TEST(wrong.empty(), join_lines(wrong));
 }
 
 // Found by a hunt on the boards (TWICE): a leader that had resigned while the store was
@@ -341,18 +342,18 @@
     for (const uint64_t seed : { 14, 24, 27 }) {
         Cell cell(seed, 4, 8);
         cell.world.run_for(Millis(1500));
-        cell.store.trouble.slow = 80;
+        cell.store.injected.latency_factor = 80;
         for (int i = 0; i < 240; ++i) {
-            const TaskFacts facts = payload_facts(1, 120);
+            const StepModel facts = payload_facts(1, 120);
             cell.submit("job" + std::to_string(i), spec_of({ facts }), { facts }, false);
             if (i == 40 + int(seed) * 4)
                 cell.stop(cell.leader(), Millis(500));
             cell.world.run_for(Millis(15));
         }
-        cell.store.trouble.slow = 1;
+        cell.store.injected.latency_factor = 1;
         cell.world.run_for(Millis(15000));
-        const auto wrong = cell.verdict();
-        BOOST_TEST(wrong.empty(), "seed " << seed << joined(wrong));
+        const auto wrong = cell.final_violations();
+        BOOST_TEST(wrong.empty(), "seed " << seed << join_lines(wrong));
     }
 }
 
@@ -364,17 +365,17 @@
         Cell cell(seed, 5, 4);
         cell.world.run_for(Millis(1500));
         const std::string leader = cell.leader();
-        cell.store.trouble.slow = 96;
+        cell.store.injected.latency_factor = 96;
         for (int i = 0; i < 100; ++i) {
             if (i % 5 == 0)
                 submit_random(cell, i);
             cell.world.run_for(Millis(50));
             BOOST_TEST(cell.leader() == leader, "seed " << seed << ": " << cell.leader());
         }
-        cell.store.trouble.slow = 1;
+        cell.store.injected.latency_factor = 1;
         cell.world.run_for(Millis(30000));
-        const auto wrong = cell.verdict();
-        BOOST_TEST(wrong.empty(), "seed " << seed << joined(wrong));
+        const auto wrong = cell.final_violations();
+        BOOST_TEST(wrong.empty(), "seed " << seed << join_lines(wrong));
     }
 }
 
@@ -392,8 +393,8 @@
         cell.world.run_for(Millis(3500));
         BOOST_TEST(cell.leader() == "n3", "seed " << seed << ": " << cell.leader());
         cell.world.run_for(Millis(10000));
-        const auto wrong = cell.verdict();
-        BOOST_TEST(wrong.empty(), "seed " << seed << joined(wrong));
+        const auto wrong = cell.final_violations();
+        BOOST_TEST(wrong.empty(), "seed " << seed << join_lines(wrong));
     }
 }
 
@@ -403,18 +404,18 @@
 {
     Cell cell(3, 1, 2);
     cell.world.run_for(Millis(1500));
-    cell.workers.trouble.unanswered = 1;
+    cell.workers.injected.unanswered_share = 1;
     for (int i = 0; i < 3; ++i) {
-        const TaskFacts facts = payload_facts(1, 500);
+        const StepModel facts = payload_facts(1, 500);
         cell.submit("job" + std::to_string(i), spec_of({ facts }), { facts }, false);
     }
     cell.world.run_for(Millis(900));
     BOOST_TEST(cell.ask_pending(false) == 3);
-    cell.workers.trouble.unanswered = 0;
+    cell.workers.injected.unanswered_share = 0;
     cell.world.run_for(Millis(20000));
     BOOST_TEST(cell.ask_pending(false) == 0);
-    const auto wrong = cell.verdict();
-    BOOST_TEST(wrong.empty(), joined(wrong));
+    const auto wrong = cell.final_violations();
+    BOOST_TEST(wrong.empty(), join_lines(wrong));
 }
 
 // Found on the bench (grown boards, UNASKED 86 on scale-2): while history was forgotten,
@@ -424,7 +425,7 @@
 {
     Cell cell(9, 3, 6);
     cell.world.run_for(Millis(1500));
-    cell.store.trouble.slow = 250;
+    cell.store.injected.latency_factor = 250;
     const int64_t before = cell.store.reads();
     for (int i = 0; i < 100; ++i) {
         if (i % 4 == 0)
@@ -435,10 +436,10 @@
     // One reading of the 64 parts takes a second or more, with retries, and a pause
     // follows.
     BOOST_TEST(cell.store.reads() - before < 64 * 12);
-    cell.store.trouble.slow = 1;
+    cell.store.injected.latency_factor = 1;
     cell.world.run_for(Millis(30000));
-    const auto wrong = cell.verdict();
-    BOOST_TEST(wrong.empty(), joined(wrong));
+    const auto wrong = cell.final_violations();
+    BOOST_TEST(wrong.empty(), join_lines(wrong));
 }
 
 // Found on the bench (grown kiosk, LOST 39 on trouble-2): a gang lost the workers that it
@@ -452,12 +453,12 @@
     configuration.queues[1].advice = jobs::AdviceRule { 600, 1, 2000 };
     configuration.queues[1].stretch = 4;
     cell.store.configure(configuration);
-    cell.workers.advice_time = Millis(600);
+    cell.workers.default_advice_latency = Millis(600);
     cell.world.run_for(Millis(2500));
     const int gangs = 30;
     for (int i = 0; i < gangs; ++i) {
         // Each is more urgent than those before it.
-        TaskFacts facts = payload_facts(4 + i % 5, 4000 - 100 * i);
+        StepModel facts = payload_facts(4 + i % 5, 4000 - 100 * i);
         facts.gang = true;
         facts.need.cpu_millis = 3000;
         cell.submit("job" + std::to_string(i), spec_of({ facts }), { facts }, true);
@@ -465,9 +466,9 @@
     }
     cell.world.run_for(Millis(40000));
     // One or two questions for verdicts, then one or two for tickets once there is room.
-    BOOST_TEST(cell.workers.questions() * 2 <= 7 * gangs);
-    const auto wrong = cell.verdict();
-    BOOST_TEST(wrong.empty(), joined(wrong));
+    BOOST_TEST(cell.workers.advice_requests() * 2 <= 7 * gangs);
+    const auto wrong = cell.final_violations();
+    BOOST_TEST(wrong.empty(), join_lines(wrong));
 }
 
 // Links so thin that the leader has all its calls made by others.
@@ -478,7 +479,7 @@
     const uint64_t first = first_seed();
     for (int i = 0; i < schedule_count(); ++i) {
         const auto wrong = run_schedule(first + uint64_t(i), nodes, thin_link);
-        BOOST_TEST(wrong.empty(), "seed " << first + uint64_t(i) << joined(wrong));
+        BOOST_TEST(wrong.empty(), "seed " << first + uint64_t(i) << join_lines(wrong));
     }
 }
 
@@ -487,6 +488,6 @@
     const uint64_t first = first_seed();
     for (int i = 0; i < schedule_count(); ++i) {
         const auto wrong = run_schedule(first + uint64_t(i));
-        BOOST_TEST(wrong.empty(), "seed " << first + uint64_t(i) << joined(wrong));
+        BOOST_TEST(wrong.empty(), "seed " << first + uint64_t(i) << join_lines(wrong));
     }
 }
--- a/src/jobs.lib/client_answers_test.cpp
+++ b/src/jobs.lib/client_answers_test.cpp
@@ -105,8 +105,8 @@
         setup.node = setup.peer_address = "b";
         setup.incarnation = "y";
         node = std::make_unique<JobNode>(
-            NodeParts { loop, port, directory, worker_port, worker_port, peers, metrics,
-                        [this] { return world.now().count(); } },
+            NodeContext { loop, port, directory, worker_port, worker_port, peers, metrics,
+                          [this] { return world.now().count(); } },
             setup);
         node->begin();
         world.run_for(Millis(50));
@@ -142,7 +142,7 @@
 
 } // namespace
 
-BOOST_TEST_GLOBAL_FIXTURE(QuietLog);
+BOOST_TEST_GLOBAL_FIXTURE(LogFixture);
 
 // A leader that has not loaded its jobs yet knows nothing of how many wait.
 BOOST_AUTO_TEST_CASE(leader_that_loads_does_not_count_no_jobs)
@@ -150,11 +150,11 @@
     Cell cell(4, 2, 1);
     cell.world.run_for(Millis(2000));
     for (int i = 0; i < 40; ++i)
-        submit_plain(cell, "job" + std::to_string(i), small_facts(10, 60000));
+        submit_plain(cell, "job" + std::to_string(i), small_step(10, 60000));
     cell.world.run_for(Millis(3000));
     const int64_t before = cell.ask_pending(false);
     BOOST_REQUIRE(before > 10);
-    cell.store.trouble.slow = 20;
+    cell.store.injected.latency_factor = 20;
     cell.kill(cell.leader(), Millis(60000));
     for (int i = 0; i < 100; ++i) {
         const int64_t count = cell.ask_pending(false);
@@ -170,7 +170,7 @@
 {
     Cell cell(5, 2, 3);
     cell.world.run_for(Millis(2000));
-    submit_plain(cell, "job1", small_facts(1, 3000));
+    submit_plain(cell, "job1", small_step(1, 3000));
     cell.world.run_for(Millis(1000));
     const std::string first = cell.leader();
     const std::string second = first == "n1" ? "n2" : "n1";
@@ -192,7 +192,7 @@
     Cell cell(5, 2, 1);
     cell.world.run_for(Millis(2000));
     for (int i = 0; i < 20; ++i)
-        submit_plain(cell, "job" + std::to_string(i), small_facts(2, 700));
+        submit_plain(cell, "job" + std::to_string(i), small_step(2, 700));
     cell.world.run_for(Millis(500));
     BOOST_REQUIRE(cell.ask_pending(false) > 0);
     const std::string first = cell.leader();
@@ -321,10 +321,10 @@
         follower.world.run_for(Millis(1000));
         return status;
     };
-    BOOST_TEST(follower.node->come_back_after("full").count() == 2500);
+    BOOST_TEST(follower.node->closed_queue_retry_after("full").count() == 2500);
     BOOST_TEST((submit("full", "job1") == ClientStatus::refused));
     BOOST_TEST(follower.store.count(jobs_table) == 0U);
-    BOOST_TEST(follower.node->come_back_after("other").count() == 0);
+    BOOST_TEST(follower.node->closed_queue_retry_after("other").count() == 0);
     BOOST_TEST((submit("other", "job2") == ClientStatus::ok));
     // One that was taken before is not said never to run.
     BOOST_TEST((submit("full", "job2") == ClientStatus::ok));
--- a/src/jobs.lib/configuration_test.cpp
+++ b/src/jobs.lib/configuration_test.cpp
@@ -47,7 +47,10 @@
         cell.world.run_for(Millis(6000 + below(2600)));
     }
 
-    int64_t below(int64_t bound) { return int64_t(cell.world.below(uint64_t(bound))); }
+    int64_t below(int64_t bound)
+    {
+        return int64_t(cell.world.random_below(uint64_t(bound)));
+    }
 
     /// The operators add a queue.
     void add_queue()
@@ -79,7 +82,7 @@
         WatchedCell watched(seed);
         course(watched);
         watched.cell.world.run_for(settle);
-        const auto& lines = watched.cell.late_configurations();
+        const auto& lines = watched.cell.configuration_violations();
         if (!lines.empty())
             late.push_back("seed " + std::to_string(seed) + ": " + lines.front());
     }
@@ -91,18 +94,18 @@
     const auto late = late_cells(course);
     BOOST_TEST(late.empty(),
                what << ": " << late.size() << " of " << seeds << " cells were late"
-                    << joined(late));
+                    << join_lines(late));
 }
 
 } // namespace
 
-BOOST_TEST_GLOBAL_FIXTURE(QuietLog);
+BOOST_TEST_GLOBAL_FIXTURE(LogFixture);
 
 BOOST_AUTO_TEST_CASE(change_after_connections_went_silent_is_in_force_in_time)
 {
     for (const int64_t delay : { 100, 500, 900, 1500, 2500 }) {
         check_in_time(std::to_string(delay) + " ms", [delay](WatchedCell& watched) {
-            watched.cell.silence_connections(most_kept);
+            watched.cell.blackhole_connections(most_kept);
             watched.add_queue_after(Millis(delay));
         });
     }
@@ -111,11 +114,11 @@
 BOOST_AUTO_TEST_CASE(change_between_two_silences_is_in_force_in_time)
 {
     check_in_time("two silences", [](WatchedCell& watched) {
-        watched.cell.silence_connections(most_kept);
+        watched.cell.blackhole_connections(most_kept);
         watched.cell.world.run_for(Millis(400 + watched.below(2200)));
         watched.add_queue();
         watched.cell.world.run_for(Millis(watched.below(1500)));
-        watched.cell.silence_connections(most_kept);
+        watched.cell.blackhole_connections(most_kept);
         watched.add_queue_after(Millis(watched.below(1500)));
     });
 }
@@ -126,11 +129,11 @@
         check_in_time("a share of " + std::to_string(share), [share](WatchedCell& watched) {
             emulator::Store& store = watched.cell.store;
             const Millis span(300 + watched.below(4000));
-            store.trouble.lose_reads = share;
-            watched.cell.out_of_touch(span);
+            store.injected.lost_read_replies = share;
+            watched.cell.note_contact_loss(span);
             watched.add_queue_after(Millis(watched.below(span.count() + 900)));
             watched.cell.world.run_for(span);
-            store.trouble.lose_reads = 0;
+            store.injected.lost_read_replies = 0;
         });
     }
 }
@@ -141,11 +144,11 @@
         check_in_time(silent ? "silent" : "refusing", [silent](WatchedCell& watched) {
             emulator::Store& store = watched.cell.store;
             const Millis span(300 + watched.below(4000));
-            (silent ? store.trouble.silent : store.trouble.busy) = true;
-            watched.cell.out_of_touch(span);
+            (silent ? store.injected.unresponsive : store.injected.refuse_calls) = true;
+            watched.cell.note_contact_loss(span);
             watched.add_queue_after(Millis(watched.below(span.count() + 900)));
             watched.cell.world.run_for(span);
-            store.trouble.silent = store.trouble.busy = false;
+            store.injected.unresponsive = store.injected.refuse_calls = false;
         });
     }
 }
@@ -156,8 +159,8 @@
         Cell& cell = watched.cell;
         const Millis span(300 + watched.below(4000));
         const std::string node = cell.node_names()[size_t(watched.below(nodes))];
-        auto& cut = cell.store.trouble.cut_nodes;
-        cell.out_of_touch(span);
+        auto& cut = cell.store.injected.partitioned_nodes;
+        cell.note_contact_loss(span);
         if (watched.below(2) == 0)
             cell.freeze(node, span);
         else
--- a/src/jobs.lib/configuration_tracker.cpp
+++ b/src/jobs.lib/configuration_tracker.cpp
@@ -65,13 +65,13 @@
     , m_peers(peers)
     , m_metrics(metrics)
     , m_node(std::move(node))
-    , m_heard(loop.now())
+    , m_confirmed_at(loop.now())
 {
 }
 
 void ConfigurationTracker::begin()
 {
-    ask();
+    send_next_call();
 }
 
 void ConfigurationTracker::on_applied(std::function<void(const Configuration&)> listener)
@@ -81,40 +81,40 @@
 
 Millis ConfigurationTracker::age() const
 {
-    return m_loop.now() - m_heard;
+    return m_loop.now() - m_confirmed_at;
 }
 
 bool ConfigurationTracker::is_fresh() const
 {
-    return m_store_heard && age() <= fresh_time;
+    return m_store_answered && age() <= fresh_time;
 }
 
-void ConfigurationTracker::ask_after(Millis pause)
+void ConfigurationTracker::schedule_next_call(Millis pause)
 {
     m_loop.cancel(m_timer);
     m_timer = m_loop.after(pause, m_lifetime.wrap([this] {
-        if (m_newest_open)
-            note_failure(m_newest, "late");
-        ask();
+        if (m_last_call_open)
+            record_failure(m_last_call, "late");
+        send_next_call();
     }));
 }
 
 // Sends a call, and the next one when this one is late.
-void ConfigurationTracker::ask()
+void ConfigurationTracker::send_next_call()
 {
-    if (m_open == most_open) {
-        ask_after(late_time);
+    if (m_open_calls == most_open) {
+        schedule_next_call(late_time);
         return;
     }
     Call call;
-    call.name = m_watched_from == 0 ? "read" : "watch";
-    call.number = m_newest.number + 1;
+    call.name = m_watch_version == 0 ? "read" : "watch";
+    call.number = m_last_call.number + 1;
     call.sent = m_loop.now();
-    call.hold = m_watched_from == 0 ? Millis(0) : next_hold();
-    m_newest = call;
-    m_newest_open = true;
-    ++m_open;
-    ask_after(call.hold + late_time);
+    call.hold = m_watch_version == 0 ? Millis(0) : next_hold();
+    m_last_call = call;
+    m_last_call_open = true;
+    ++m_open_calls;
+    schedule_next_call(call.hold + late_time);
     send(call);
 }
 
@@ -127,44 +127,44 @@
 void ConfigurationTracker::send(const Call& call)
 {
     auto done = m_lifetime.wrap([this, call](const DirectoryAnswer<Configuration>& answer) {
-        answered(call, answer);
+        on_answer(call, answer);
     });
-    if (m_watched_from == 0)
+    if (m_watch_version == 0)
         m_directory.read_configuration(read_timeout, std::move(done));
     else
-        m_directory.watch_configuration(m_watched_from, call.hold, std::move(done));
+        m_directory.watch_configuration(m_watch_version, call.hold, std::move(done));
 }
 
-void ConfigurationTracker::answered(const Call& call,
-                                    const DirectoryAnswer<Configuration>& answer)
+void ConfigurationTracker::on_answer(const Call& call,
+                                     const DirectoryAnswer<Configuration>& answer)
 {
     m_metrics.count("pathport_config_calls_total",
                     { { "call", call.name }, { "outcome", to_string(answer.status) } });
-    --m_open;
-    const bool newest = call.number == m_newest.number;
+    --m_open_calls;
+    const bool newest = call.number == m_last_call.number;
     Millis pause;
     if (answer.status == StoreStatus::ok) {
-        note_answer(call, answer);
-        m_watched_from = std::max(m_watched_from, answer.version);
+        record_answer(call, answer);
+        m_watch_version = std::max(m_watch_version, answer.version);
         if (answer.value)
             apply(*answer.value, call.name);
     } else if (answer.status == StoreStatus::history_lost) {
-        m_watched_from = 0;
+        m_watch_version = 0;
     } else {
         pause = answer.status == StoreStatus::refused ? refused_pause : lost_pause;
         if (newest)
-            note_failure(call, to_string(answer.status));
+            record_failure(call, to_string(answer.status));
     }
     if (!newest)
         return; // The newest call, or its end, brings about the next one.
-    m_newest_open = false;
-    ask_after(pause);
+    m_last_call_open = false;
+    schedule_next_call(pause);
 }
 
 // The store answers without a change only after the whole hold, so that nothing was newer
 // then; else that is known of the moment when it was asked.
-void ConfigurationTracker::note_answer(const Call& call,
-                                       const DirectoryAnswer<Configuration>& answer)
+void ConfigurationTracker::record_answer(const Call& call,
+                                         const DirectoryAnswer<Configuration>& answer)
 {
     if (!answer.unreadable.empty())
         log_event(LogLevel::warn, "configuration_unreadable",
@@ -178,12 +178,12 @@
                     { "age_ms", age().count() },
                     { "in_force", version() } });
     m_failures = 0;
-    m_store_heard = true;
+    m_store_answered = true;
     const bool held = !answer.value && m_loop.now() >= call.sent + call.hold;
-    m_heard = std::max(m_heard, held ? call.sent + call.hold : call.sent);
+    m_confirmed_at = std::max(m_confirmed_at, held ? call.sent + call.hold : call.sent);
 }
 
-void ConfigurationTracker::note_failure(const Call& call, const char* outcome)
+void ConfigurationTracker::record_failure(const Call& call, const char* outcome)
 {
     ++m_failures;
     if (m_failures > 1)
@@ -212,61 +212,61 @@
         m_listener(*m_current);
 }
 
-void ConfigurationTracker::peer_has(const std::string& address, int64_t version)
+void ConfigurationTracker::note_peer_version(const std::string& address, int64_t version)
 {
     if (version <= this->version() || address.empty())
         return;
-    m_told_by = address;
-    m_told_version = std::max(m_told_version, version);
-    if (m_looks_after_told)
+    m_newer_peer = address;
+    m_newest_peer_version = std::max(m_newest_peer_version, version);
+    if (m_peer_check_pending)
         return;
-    m_looks_after_told = true;
-    m_loop.after(told_wait, m_lifetime.wrap([this] { look_after_peers_word(); }));
+    m_peer_check_pending = true;
+    m_loop.after(told_wait, m_lifetime.wrap([this] { check_peer_version(); }));
 }
 
 // The store's link bears the answers to all nodes at once, a peer's may not: a
 // configuration of some hundred queues takes 100 kB. The peer is asked when the store
 // doesn't answer.
-void ConfigurationTracker::look_after_peers_word()
+void ConfigurationTracker::check_peer_version()
 {
-    if (m_told_version <= version()) {
-        m_looks_after_told = false;
+    if (m_newest_peer_version <= version()) {
+        m_peer_check_pending = false;
         return;
     }
-    ask();
+    send_next_call();
     m_loop.after(late_time, m_lifetime.wrap([this] {
-        m_looks_after_told = false;
-        if (m_told_version > version())
-            fetch();
+        m_peer_check_pending = false;
+        if (m_newest_peer_version > version())
+            fetch_from_peer();
     }));
 }
 
-void ConfigurationTracker::fetch()
+void ConfigurationTracker::fetch_from_peer()
 {
     const Millis now = m_loop.now();
-    const bool waits = m_fetches > 0 && now - m_fetch_asked < late_fetch;
-    if (waits || m_fetches == most_fetches)
+    const bool waits = m_open_fetches > 0 && now - m_last_fetch_sent < late_fetch;
+    if (waits || m_open_fetches == most_fetches)
         return;
-    ++m_fetches;
-    m_fetch_asked = now;
+    ++m_open_fetches;
+    m_last_fetch_sent = now;
     log_event(LogLevel::info, "configuration_fetch",
-              { { "peer", m_told_by },
-                { "version", m_told_version },
+              { { "peer", m_newer_peer },
+                { "version", m_newest_peer_version },
                 { "in_force", version() },
                 { "age_ms", age().count() } });
     PeerRequest request;
     request.topic = PeerTopic::configuration;
     request.node = m_node;
-    m_peers.send(m_told_by, request, fetch_timeout,
-                 m_lifetime.wrap([this, address = m_told_by,
+    m_peers.send(m_newer_peer, request, fetch_timeout,
+                 m_lifetime.wrap([this, address = m_newer_peer,
                                   now](PeerEnd end, const PeerAnswer& answer) {
-                     --m_fetches;
-                     fetched(address, now, end, answer);
+                     --m_open_fetches;
+                     on_fetched(address, now, end, answer);
                  }));
 }
 
-void ConfigurationTracker::fetched(const std::string& address, Millis asked, PeerEnd end,
-                                   const PeerAnswer& answer)
+void ConfigurationTracker::on_fetched(const std::string& address, Millis asked, PeerEnd end,
+                                      const PeerAnswer& answer)
 {
     m_metrics.count("pathport_config_calls_total",
                     { { "call", "peer" }, { "outcome", end_name(end) } });
--- a/src/jobs.lib/configuration_tracker.h
+++ b/src/jobs.lib/configuration_tracker.h
@@ -38,7 +38,7 @@
     /// From now on `listener` is told of each configuration that is applied.
     void on_applied(std::function<void(const Configuration&)> listener);
     /// A peer that takes messages at `address` has the configuration of this version.
-    void peer_has(const std::string& address, int64_t version);
+    void note_peer_version(const std::string& address, int64_t version);
 
     /// Returns the newest configuration that is known, or nothing when there is none yet.
     std::shared_ptr<const Configuration> current() const { return m_current; }
@@ -59,18 +59,18 @@
         Millis hold; ///< The store may hold its answer back for so long.
     };
 
-    void ask();
-    void ask_after(Millis pause);
+    void send_next_call();
+    void schedule_next_call(Millis pause);
     void send(const Call& call);
     Millis next_hold() const;
-    void answered(const Call& call, const DirectoryAnswer<Configuration>& answer);
-    void note_answer(const Call& call, const DirectoryAnswer<Configuration>& answer);
-    void note_failure(const Call& call, const char* outcome);
+    void on_answer(const Call& call, const DirectoryAnswer<Configuration>& answer);
+    void record_answer(const Call& call, const DirectoryAnswer<Configuration>& answer);
+    void record_failure(const Call& call, const char* outcome);
     void apply(const Configuration& configuration, const char* source);
-    void look_after_peers_word();
-    void fetch();
-    void fetched(const std::string& address, Millis asked, PeerEnd end,
-                 const PeerAnswer& answer);
+    void check_peer_version();
+    void fetch_from_peer();
+    void on_fetched(const std::string& address, Millis asked, PeerEnd end,
+                    const PeerAnswer& answer);
 
     EventLoop& m_loop;
     Directory& m_directory;
@@ -79,19 +79,19 @@
     std::string m_node;
     std::function<void(const Configuration&)> m_listener;
     std::shared_ptr<const Configuration> m_current;
-    Millis m_heard; ///< When the store had nothing newer than what it told.
-    bool m_store_heard = false; ///< It has told of something in this life.
-    int64_t m_watched_from = 0; ///< Changes after this version are watched for; 0: read.
-    Call m_newest; ///< The call that was sent last.
-    bool m_newest_open = false;
-    int m_open = 0; ///< Calls without an answer.
+    Millis m_confirmed_at; ///< When the store had nothing newer than what it told.
+    bool m_store_answered = false; ///< It has told of something in this life.
+    int64_t m_watch_version = 0; ///< Changes after this version are watched for; 0: read.
+    Call m_last_call; ///< The call that was sent last.
+    bool m_last_call_open = false;
+    int m_open_calls = 0; ///< Calls without an answer.
     int m_failures = 0; ///< Calls that failed or were late since one was answered.
     EventLoop::TimerId m_timer = 0; ///< Sends the next call, also while one is open.
-    std::string m_told_by; ///< A peer that has a newer configuration than this node.
-    int64_t m_told_version = 0; ///< The version of that.
-    bool m_looks_after_told = false;
-    int m_fetches = 0; ///< Open ones.
-    Millis m_fetch_asked; ///< When the last one was sent.
+    std::string m_newer_peer; ///< A peer that has a newer configuration than this node.
+    int64_t m_newest_peer_version = 0; ///< The version of that.
+    bool m_peer_check_pending = false;
+    int m_open_fetches = 0; ///< Open ones.
+    Millis m_last_fetch_sent; ///< When the last one was sent.
     Lifetime m_lifetime;
 };
 
--- a/src/jobs.lib/configuration_tracker_test.cpp
+++ b/src/jobs.lib/configuration_tracker_test.cpp
@@ -223,7 +223,7 @@
     Metrics metrics;
     ConfigurationTracker tracker(loop, directory, peers, metrics, "n1");
     tracker.begin();
-    tracker.peer_has("n2", 3);
+    tracker.note_peer_version("n2", 3);
     world.run_for(Millis(410));
     BOOST_REQUIRE(peers.sent.size() == 1U);
     PeerAnswer answer;
@@ -245,7 +245,7 @@
 
 BOOST_FIXTURE_TEST_CASE(peer_that_has_a_newer_one_makes_the_node_ask_the_store, Fixture)
 {
-    tracker.peer_has("n2", 9);
+    tracker.note_peer_version("n2", 9);
     run(110);
     BOOST_REQUIRE(directory.calls.size() == 3U);
     answer_last(told(140, 9));
@@ -255,13 +255,13 @@
 
 BOOST_FIXTURE_TEST_CASE(peer_is_asked_when_the_store_does_not_answer, Fixture)
 {
-    tracker.peer_has("n2", 9);
+    tracker.note_peer_version("n2", 9);
     run(410);
     BOOST_REQUIRE(peers.sent.size() == 1U);
     BOOST_TEST(peers.sent[0].address == "n2");
     // On a connection that went silent; another peer's word is not held up by it.
     run(500);
-    tracker.peer_has("n3", 9);
+    tracker.note_peer_version("n3", 9);
     run(410);
     BOOST_REQUIRE(peers.sent.size() == 2U);
     BOOST_TEST(peers.sent[1].address == "n3");
@@ -276,9 +276,9 @@
 
 BOOST_FIXTURE_TEST_CASE(older_or_same_version_of_a_peer_is_no_news, Fixture)
 {
-    tracker.peer_has("n2", 5);
-    tracker.peer_has("n3", 4);
-    tracker.peer_has("", 9);
+    tracker.note_peer_version("n2", 5);
+    tracker.note_peer_version("n3", 4);
+    tracker.note_peer_version("", 9);
     run(900);
     BOOST_TEST(directory.calls.size() == 2U);
     BOOST_TEST(peers.sent.empty());
--- a/src/jobs.lib/crash_record.cpp
+++ b/src/jobs.lib/crash_record.cpp
@@ -50,7 +50,7 @@
     return !known;
 }
 
-bool CrashRecord::take_back(int64_t run)
+bool CrashRecord::retract(int64_t run)
 {
     const auto found = std::find_if(m_runs.begin(), m_runs.end(),
                                     [&](const auto& entry) { return entry.run == run; });
@@ -76,7 +76,7 @@
     m_tries = std::max(0, m_tries - 1);
 }
 
-bool CrashRecord::spent() const
+bool CrashRecord::tries_exhausted() const
 {
     return m_runs.size() >= workers_lost_at_most && m_tries >= most_tries;
 }
@@ -85,7 +85,8 @@
 {
     int weight = 0;
     for (const CrashedRun& lost : m_runs) {
-        const bool blamed = Millis(lost.lived_ms) < fresh_run && !lost.explained;
+        const bool blamed
+            = Millis(lost.runtime_ms) < startup_window && !lost.beside_suspect;
         weight += blamed ? fresh_weight : old_weight;
     }
     if (weight >= likely_from)
@@ -93,31 +94,31 @@
     return weight >= suspected_from ? Suspicion::suspected : Suspicion::none;
 }
 
-bool CrashRecord::lives_alike() const
+bool CrashRecord::has_similar_runtimes() const
 {
     const auto shorter = [](const CrashedRun& left, const CrashedRun& right) {
-        return left.lived_ms < right.lived_ms;
+        return left.runtime_ms < right.runtime_ms;
     };
     const auto [least, most] = std::minmax_element(m_runs.begin(), m_runs.end(), shorter);
-    return m_runs.empty() || most->lived_ms - least->lived_ms <= alike_within_ms;
+    return m_runs.empty() || most->runtime_ms - least->runtime_ms <= alike_within_ms;
 }
 
-Millis CrashRecord::longest_life() const
+Millis CrashRecord::longest_runtime() const
 {
     Millis longest;
     for (const CrashedRun& lost : m_runs)
-        longest = std::max(longest, Millis(lost.lived_ms));
+        longest = std::max(longest, Millis(lost.runtime_ms));
     return longest;
 }
 
-Millis CrashRecord::clearing_life() const
+Millis CrashRecord::clearing_runtime() const
 {
-    return std::max(fresh_run, longest_life()) + clearing_margin;
+    return std::max(startup_window, longest_runtime()) + clearing_margin;
 }
 
 bool CrashRecord::cleared_by_end_after(Millis life) const
 {
-    return life > longest_life() + clearing_margin;
+    return life > longest_runtime() + clearing_margin;
 }
 
 } // namespace pathport::jobs
