--- a/src/jobs.lib/crash_record.h
+++ b/src/jobs.lib/crash_record.h
@@ -20,21 +20,21 @@
 /// A run of a task with which a worker was lost.
 struct CrashedRun {
     int64_t run = 0;
-    int64_t lived_ms = 0; ///< The run is known to have been there for so long.
-    bool explained = false; ///< A suspect was there, so it says less of others.
+    int64_t runtime_ms = 0; ///< The run is known to have been there for so long.
+    bool beside_suspect = false; ///< A suspect was there, so it says less of others.
 
     bool operator==(const CrashedRun& other) const
     {
-        return run == other.run && lived_ms == other.lived_ms
-            && explained == other.explained;
+        return run == other.run && runtime_ms == other.runtime_ms
+            && beside_suspect == other.beside_suspect;
     }
 };
 
 /// A run that was lost sooner than this after its start may have crashed its worker by
 /// starting. Reports come twice a second, so a life is known to within half a second.
-constexpr Millis fresh_run { 1500 };
+constexpr Millis startup_window { 1500 };
 /// What is taken for the life of a run that an earlier leader started.
-constexpr Millis unknown_life = fresh_run;
+constexpr Millis unknown_runtime = startup_window;
 
 /// How much speaks against a task.
 enum class Suspicion {
@@ -61,29 +61,29 @@
     /// Adds a run; returns false if it is there already.
     bool add(const CrashedRun& lost);
     /// Takes a run back: its worker was not lost. Returns whether it was there.
-    bool take_back(int64_t run);
+    bool retract(int64_t run);
     void clear();
 
     /// Notes a start, which counts once enough workers were lost.
     void note_start();
     /// Notes that a start came to nothing at its worker.
-    void start_came_to_nothing() { withdraw_start(); }
+    void note_failed_start() { withdraw_start(); }
     /// Notes that the run of a start failed by itself and its worker lived on: a task that
     /// crashes its workers does not end so, and failures are bounded by themselves.
-    void start_was_harmless() { withdraw_start(); }
+    void note_harmless_failure() { withdraw_start(); }
     /// Returns the starts that count.
     int tries() const { return m_tries; }
     /// Returns whether the task is not to be started any more: enough workers were lost
     /// with it, and it was tried since then as often as is right without being cleared.
-    bool spent() const;
+    bool tries_exhausted() const;
 
     Suspicion suspicion() const;
     /// Returns whether all runs were lost about as long after their start, as those of a
     /// task that crashes its workers are.
-    bool lives_alike() const;
+    bool has_similar_runtimes() const;
     /// Returns after which life a further run shows that the task does not crash its
     /// workers: longer than any that went down with one.
-    Millis clearing_life() const;
+    Millis clearing_runtime() const;
     /// Returns whether a run that its worker listed as ended by itself after this life
     /// shows it: it can't come to crash the worker any more.
     bool cleared_by_end_after(Millis life) const;
@@ -95,7 +95,7 @@
 
 private:
     void withdraw_start();
-    Millis longest_life() const;
+    Millis longest_runtime() const;
 
     std::vector<CrashedRun> m_runs;
     int m_tries = 0;
--- a/src/jobs.lib/crash_record_test.cpp
+++ b/src/jobs.lib/crash_record_test.cpp
@@ -60,8 +60,8 @@
     BOOST_TEST(record.add({ 7, at_once }));
     BOOST_TEST(!record.add({ 7, long_after }));
     BOOST_TEST(record.size() == 1U);
-    BOOST_TEST(!record.take_back(8));
-    BOOST_TEST(record.take_back(7));
+    BOOST_TEST(!record.retract(8));
+    BOOST_TEST(record.retract(7));
     BOOST_TEST(record.empty());
 }
 
@@ -83,13 +83,13 @@
     record.add({ 3, at_once });
     BOOST_TEST(record.tries() == 0);
     record.note_start();
-    BOOST_TEST(!record.spent());
-    record.start_came_to_nothing();
+    BOOST_TEST(!record.tries_exhausted());
+    record.note_failed_start();
     record.note_start();
     record.note_start();
-    BOOST_TEST(record.spent());
+    BOOST_TEST(record.tries_exhausted());
     record.clear();
-    BOOST_TEST(!record.spent());
+    BOOST_TEST(!record.tries_exhausted());
     BOOST_TEST(record.tries() == 0);
 }
 
@@ -102,30 +102,30 @@
         record.add({ run, long_after / run });
     record.note_start();
     record.note_start();
-    BOOST_TEST(record.spent());
-    record.start_was_harmless();
-    BOOST_TEST(!record.spent());
+    BOOST_TEST(record.tries_exhausted());
+    record.note_harmless_failure();
+    BOOST_TEST(!record.tries_exhausted());
     record.note_start();
-    BOOST_TEST(record.spent());
+    BOOST_TEST(record.tries_exhausted());
 }
 
 BOOST_AUTO_TEST_CASE(lives_are_compared)
 {
     CrashRecord record;
-    BOOST_TEST(record.lives_alike());
+    BOOST_TEST(record.has_similar_runtimes());
     record.add({ 1, at_once });
     record.add({ 2, 500 });
-    BOOST_TEST(record.lives_alike());
+    BOOST_TEST(record.has_similar_runtimes());
     record.add({ 3, long_after });
-    BOOST_TEST(!record.lives_alike());
+    BOOST_TEST(!record.has_similar_runtimes());
 }
 
 BOOST_AUTO_TEST_CASE(a_task_is_cleared_by_a_life_longer_than_all_that_were_lost)
 {
     CrashRecord record;
     record.add({ 1, at_once });
-    BOOST_TEST((record.clearing_life() > fresh_run));
+    BOOST_TEST((record.clearing_runtime() > startup_window));
     record.add({ 2, long_after });
     record.add({ 3, at_once });
-    BOOST_TEST((record.clearing_life() > Millis(long_after)));
+    BOOST_TEST((record.clearing_runtime() > Millis(long_after)));
 }
--- a/src/jobs.lib/crashing_schedules_test.cpp
+++ b/src/jobs.lib/crashing_schedules_test.cpp
@@ -14,12 +14,12 @@
 using namespace pathport;
 using namespace pathport::cell_tests;
 
-BOOST_TEST_GLOBAL_FIXTURE(QuietLog);
+BOOST_TEST_GLOBAL_FIXTURE(LogFixture);
 
 BOOST_AUTO_TEST_CASE(tasks_crash_their_workers_in_random_schedules)
 {
     constexpr uint64_t first = 950000;
     constexpr uint64_t schedules = 4;
     for (const int style : { 10, 11, 14, 15 })
-        expect_schedules_clean(style, first, schedules);
+        expect_no_violations(style, first, schedules);
 }
--- a/src/jobs.lib/crashing_tasks_test.cpp
+++ b/src/jobs.lib/crashing_tasks_test.cpp
@@ -20,7 +20,7 @@
 using namespace pathport;
 using namespace pathport::cell_tests;
 
-BOOST_TEST_GLOBAL_FIXTURE(QuietLog);
+BOOST_TEST_GLOBAL_FIXTURE(LogFixture);
 
 namespace {
 
@@ -29,11 +29,11 @@
 constexpr int most_crashes = 5;
 const char* const crasher = "crasher";
 
-TaskFacts crashing_facts(int count, int64_t crash_ms)
+StepModel crashing_facts(int count, int64_t crash_ms)
 {
-    TaskFacts facts = simple_facts(count, 4000);
-    facts.crashers = 1;
-    facts.crash_ms = crash_ms;
+    StepModel facts = one_core_step(count, 4000);
+    facts.crashing_task_count = 1;
+    facts.crash_after_ms = crash_ms;
     return facts;
 }
 
@@ -43,12 +43,12 @@
     constexpr int64_t interval = 300;
     for (int64_t at = 0; at < span.count(); at += interval) {
         cell.world.after(Millis(at), [&cell, at] {
-            TaskFacts gang = simple_facts(3, 900);
+            StepModel gang = one_core_step(3, 900);
             gang.gang = true;
             const std::string number = std::to_string(at);
-            submit(cell, "q0", "short" + number, { simple_facts(3, 200) });
+            submit(cell, "q0", "short" + number, { one_core_step(3, 200) });
             submit(cell, "q1", "gang" + number, { gang });
-            submit(cell, "a1", "long" + number, { simple_facts(2, 2500) });
+            submit(cell, "a1", "long" + number, { one_core_step(2, 2500) });
         });
     }
 }
@@ -57,7 +57,7 @@
 
 /// Plays a cell under load with the crashing job and returns what is wrong: more starts of
 /// it than are allowed, a job that can be done and is not, or is shown as failed.
-std::vector<std::string> play(uint64_t seed, const TaskFacts& facts, const Course& course,
+std::vector<std::string> play(uint64_t seed, const StepModel& facts, const Course& course,
                               const std::string& queue = "q0")
 {
     Cell cell(seed, 3, 8);
@@ -69,7 +69,7 @@
     submit(cell, queue, crasher, { facts });
     course(cell);
     cell.world.run_for(Millis(55000));
-    auto wrong = cell.verdict();
+    auto wrong = cell.final_violations();
     if (cell.workers.crashes_of(crasher) < 2)
         wrong.push_back("the crashing task crashed fewer than two workers");
     return wrong;
@@ -77,12 +77,12 @@
 
 void nothing_else(Cell& /*cell*/) { }
 
-void expect_none_wrong(const TaskFacts& facts, const Course& course = nothing_else,
+void expect_none_wrong(const StepModel& facts, const Course& course = nothing_else,
                        const std::string& queue = "q0")
 {
     for (uint64_t seed = 1; seed <= seeds; ++seed) {
         const auto wrong = play(seed, facts, course, queue);
-        BOOST_TEST(wrong.empty(), "seed " << seed << joined(wrong));
+        BOOST_TEST(wrong.empty(), "seed " << seed << join_lines(wrong));
     }
 }
 
@@ -122,37 +122,37 @@
 
 BOOST_AUTO_TEST_CASE(workers_that_are_back_late)
 {
-    TaskFacts facts = crashing_facts(1, 10);
-    facts.crash_pause = Millis(9000);
-    facts.crash_silent = true;
+    StepModel facts = crashing_facts(1, 10);
+    facts.crash_downtime = Millis(9000);
+    facts.crash_unresponsive = true;
     expect_none_wrong(facts);
 }
 
 BOOST_AUTO_TEST_CASE(workers_that_are_back_at_once)
 {
-    TaskFacts facts = crashing_facts(2, 10);
-    facts.crash_pause = Millis(200);
+    StepModel facts = crashing_facts(2, 10);
+    facts.crash_downtime = Millis(200);
     expect_none_wrong(facts);
 }
 
 BOOST_AUTO_TEST_CASE(workers_that_are_back_under_their_ids)
 {
-    TaskFacts facts = crashing_facts(2, 10);
-    facts.crash_pause = Millis(1500);
+    StepModel facts = crashing_facts(2, 10);
+    facts.crash_downtime = Millis(1500);
     facts.crash_keeps_id = true;
     expect_none_wrong(facts);
 }
 
 BOOST_AUTO_TEST_CASE(a_member_of_a_gang)
 {
-    TaskFacts facts = crashing_facts(3, 10);
+    StepModel facts = crashing_facts(3, 10);
     facts.gang = true;
     expect_none_wrong(facts);
 }
 
 BOOST_AUTO_TEST_CASE(a_task_that_lasts)
 {
-    TaskFacts facts = crashing_facts(1, 10);
+    StepModel facts = crashing_facts(1, 10);
     facts.lasting = true;
     expect_none_wrong(facts);
 }
@@ -164,16 +164,17 @@
 
 BOOST_AUTO_TEST_CASE(over_changes_of_leaders_and_back_late)
 {
-    TaskFacts facts = crashing_facts(1, 10);
-    facts.crash_pause = Millis(7000);
+    StepModel facts = crashing_facts(1, 10);
+    facts.crash_downtime = Millis(7000);
     expect_none_wrong(facts, kill_leaders);
 }
 
 BOOST_AUTO_TEST_CASE(while_the_store_is_slow)
 {
     expect_none_wrong(crashing_facts(1, 10), [](Cell& cell) {
-        cell.store.trouble.slow = 60;
-        cell.world.after(Millis(12000), [&cell] { cell.store.trouble.slow = 1; });
+        cell.store.injected.latency_factor = 60;
+        cell.world.after(Millis(12000),
+                         [&cell] { cell.store.injected.latency_factor = 1; });
         kill_leaders(cell);
     });
 }
@@ -187,8 +188,10 @@
 {
     expect_none_wrong(crashing_facts(1, 800), [](Cell& cell) {
         for (int64_t at = 1000; at < 25000; at += 4500) {
-            cell.world.after(Millis(at), [&cell] { cell.store.trouble.slow = 300; });
-            cell.world.after(Millis(at + 3500), [&cell] { cell.store.trouble.slow = 1; });
+            cell.world.after(Millis(at),
+                             [&cell] { cell.store.injected.latency_factor = 300; });
+            cell.world.after(Millis(at + 3500),
+                             [&cell] { cell.store.injected.latency_factor = 1; });
         }
     });
 }
@@ -196,12 +199,13 @@
 BOOST_AUTO_TEST_CASE(beside_workers_that_crash_by_themselves)
 {
     expect_none_wrong(crashing_facts(2, 10), [](Cell& cell) {
-        cell.workers.two_losses_suffice = true;
+        cell.workers.give_up_after_two_losses = true;
         for (int64_t at = 500; at < 12000; at += 1700) {
             cell.world.after(Millis(at), [&cell] {
                 const auto ids = cell.workers.ids();
                 for (size_t i = 0; i < 2; ++i)
-                    cell.workers.crash(ids[cell.world.below(ids.size())], Millis(2000));
+                    cell.workers.crash(ids[cell.world.random_below(ids.size())],
+                                       Millis(2000));
             });
         }
     });
@@ -216,13 +220,13 @@
     Cell cell(seed, 3, workers);
     add_queues(cell);
     cell.world.run_for(Millis(2000));
-    TaskFacts facts = crashing_facts(tasks, 20);
-    facts.crashers = tasks;
+    StepModel facts = crashing_facts(tasks, 20);
+    facts.crashing_task_count = tasks;
     facts.need = { 5000, 4000, 0 };
     submit(cell, "q0", crasher, { facts });
     cell.world.run_for(Millis(40000));
-    const auto wrong = cell.verdict();
-    BOOST_TEST(wrong.empty(), "seed " << seed << joined(wrong));
+    const auto wrong = cell.final_violations();
+    BOOST_TEST(wrong.empty(), "seed " << seed << join_lines(wrong));
     return cell.workers.crashes_of(crasher);
 }
 
@@ -253,13 +257,13 @@
         add_queues(cell);
         cell.world.run_for(Millis(2000));
         for (int i = 0; i < 12; ++i)
-            submit(cell, "q0", "job" + std::to_string(i), { simple_facts(2, 1500) });
+            submit(cell, "q0", "job" + std::to_string(i), { one_core_step(2, 1500) });
         cell.world.run_for(Millis(400));
         for (const char* const worker : { "w1", "w2" })
             cell.workers.crash(worker, Millis(2000));
         cell.world.run_for(Millis(12000));
-        const auto wrong = cell.verdict();
-        BOOST_TEST(wrong.empty(), "seed " << seed << joined(wrong));
+        const auto wrong = cell.final_violations();
+        BOOST_TEST(wrong.empty(), "seed " << seed << join_lines(wrong));
     }
 }
 
@@ -275,7 +279,7 @@
         for (int i = 0; i < 80; ++i) {
             cell.world.after(Millis(int64_t(i) * 200), [&cell, i] {
                 submit(cell, "q" + std::to_string(i % 3), "job" + std::to_string(i),
-                       { simple_facts(3, 800 + int64_t(i % 5) * 900) });
+                       { one_core_step(3, 800 + int64_t(i % 5) * 900) });
             });
         }
         for (int wave = 0; wave < waves; ++wave) {
@@ -284,7 +288,7 @@
                 cell.workers.crash(id, Millis(1500));
         }
         cell.world.run_for(Millis(40000));
-        const auto wrong = cell.verdict();
-        BOOST_TEST(wrong.empty(), "seed " << seed << joined(wrong));
+        const auto wrong = cell.final_violations();
+        BOOST_TEST(wrong.empty(), "seed " << seed << join_lines(wrong));
     }
 }
--- a/src/jobs.lib/hand_over_test.cpp
+++ b/src/jobs.lib/hand_over_test.cpp
@@ -13,7 +13,7 @@
 using namespace pathport;
 using namespace pathport::cell_tests;
 
-BOOST_TEST_GLOBAL_FIXTURE(QuietLog);
+BOOST_TEST_GLOBAL_FIXTURE(LogFixture);
 
 namespace {
 
@@ -29,7 +29,7 @@
     Millis longest;
     for (int i = 0; cell.world.now() - begun < span; ++i) {
         if (i % 5 == 0)
-            submit_plain(cell, "job" + std::to_string(i), small_facts(1, 200));
+            submit_plain(cell, "job" + std::to_string(i), small_step(1, 200));
         const int64_t before = cell.workers.starts();
         cell.world.run_for(Millis(1));
         if (cell.workers.starts() > before)
@@ -55,8 +55,8 @@
         BOOST_TEST(epoch_of(cell) == epoch + 1, "seed " << seed);
         BOOST_TEST(cell.leader() != leader, "seed " << seed);
         cell.world.run_for(Millis(8000));
-        const auto wrong = cell.verdict();
-        BOOST_TEST(wrong.empty(), "seed " << seed << joined(wrong));
+        const auto wrong = cell.final_violations();
+        BOOST_TEST(wrong.empty(), "seed " << seed << join_lines(wrong));
     }
 }
 
@@ -68,23 +68,23 @@
         Cell cell(seed, 6, 8);
         cell.world.run_for(Millis(3000));
         const std::string leader = cell.leader();
-        cell.store.trouble.slow = 90;
+        cell.store.injected.latency_factor = 90;
         for (int i = 0; i < 10; ++i) {
-            submit_plain(cell, "early" + std::to_string(i), small_facts(1, 200));
+            submit_plain(cell, "early" + std::to_string(i), small_step(1, 200));
             cell.world.run_for(Millis(150));
         }
         cell.stop(leader, Millis(500));
         for (int i = 0; i < 10; ++i) {
-            submit_plain(cell, "job" + std::to_string(i), small_facts(1, 200));
+            submit_plain(cell, "job" + std::to_string(i), small_step(1, 200));
             cell.world.run_for(Millis(150));
             BOOST_TEST(cell.leader() == leader, "seed " << seed << ", job " << i);
         }
-        cell.store.trouble.slow = 1;
+        cell.store.injected.latency_factor = 1;
         cell.world.run_for(Millis(1500));
         BOOST_TEST(cell.leader() != leader, "seed " << seed);
         cell.world.run_for(Millis(8000));
-        const auto wrong = cell.verdict();
-        BOOST_TEST(wrong.empty(), "seed " << seed << joined(wrong));
+        const auto wrong = cell.final_violations();
+        BOOST_TEST(wrong.empty(), "seed " << seed << join_lines(wrong));
     }
 }
 
@@ -95,18 +95,18 @@
         Cell cell(seed, 6, 8);
         cell.world.run_for(Millis(3000));
         const std::string leader = cell.leader();
-        cell.store.trouble.slow = 60;
+        cell.store.injected.latency_factor = 60;
         for (int i = 0; i < 30; ++i) {
-            submit_plain(cell, "job" + std::to_string(i), small_facts(1, 200));
+            submit_plain(cell, "job" + std::to_string(i), small_step(1, 200));
             if (i == 5)
                 cell.stop(leader, Millis(500));
             cell.world.run_for(Millis(150));
         }
         BOOST_TEST(cell.leader() != leader, "seed " << seed);
-        cell.store.trouble.slow = 1;
+        cell.store.injected.latency_factor = 1;
         cell.world.run_for(Millis(15000));
-        const auto wrong = cell.verdict();
-        BOOST_TEST(wrong.empty(), "seed " << seed << joined(wrong));
+        const auto wrong = cell.final_violations();
+        BOOST_TEST(wrong.empty(), "seed " << seed << join_lines(wrong));
     }
 }
 
@@ -118,20 +118,19 @@
         cell.world.run_for(Millis(2500));
         int submitted = 0;
         for (const std::string& node : cell.node_names()) {
-            cell.store.trouble.lose = seed % 2 == 0 ? 0.4 : 0;
-            cell.store.trouble.late = seed % 4 == 0;
+            cell.store.injected.lost_write_replies = seed % 2 == 0 ? 0.4 : 0;
+            cell.store.injected.delay_lost_writes = seed % 4 == 0;
             cell.stop(node, Millis(300));
             if (seed % 3 == 0)
                 cell.stop(cell.leader(), Millis(300));
             for (int i = 0; i < 15; ++i) {
-                submit_plain(cell, "job" + std::to_string(submitted++),
-                             small_facts(2, 300));
+                submit_plain(cell, "job" + std::to_string(submitted++), small_step(2, 300));
                 cell.world.run_for(Millis(100));
             }
         }
-        cell.store.trouble.lose = 0;
+        cell.store.injected.lost_write_replies = 0;
         cell.world.run_for(Millis(30000));
-        const auto wrong = cell.verdict();
-        BOOST_TEST(wrong.empty(), "seed " << seed << joined(wrong));
+        const auto wrong = cell.final_violations();
+        BOOST_TEST(wrong.empty(), "seed " << seed << join_lines(wrong));
     }
 }
--- a/src/jobs.lib/head_log.cpp
+++ b/src/jobs.lib/head_log.cpp
@@ -50,14 +50,14 @@
 std::string encode(const HeadValue& head)
 {
     return nlohmann::json::array({ head.epoch, head.number, head.incarnation,
-                                   head.unrecorded_on, head.silent.grouped() })
+                                   head.unrecorded_task_workers, head.silent.grouped() })
         .dump();
 }
 
 HeadValue unreadable_head()
 {
     HeadValue head;
-    head.unrecorded_on = { any_worker };
+    head.unrecorded_task_workers = { any_worker };
     return head;
 }
 
@@ -72,9 +72,9 @@
                          {} };
         // Earlier versions only said whether there may be such tasks.
         if (json.at(3).is_array())
-            head.unrecorded_on = json.at(3).get<std::vector<std::string>>();
+            head.unrecorded_task_workers = json.at(3).get<std::vector<std::string>>();
         else if (json.at(3).get<bool>())
-            head.unrecorded_on = { any_worker };
+            head.unrecorded_task_workers = { any_worker };
         // Earlier versions named no silent workers.
         if (json.size() > silent_field)
             head.silent = SilentWorkers::from_groups(
@@ -85,10 +85,10 @@
     }
 }
 
-bool HeadValue::names(const std::string& worker) const
+bool HeadValue::may_run_unrecorded(const std::string& worker) const
 {
-    return std::find(unrecorded_on.begin(), unrecorded_on.end(), worker)
-        != unrecorded_on.end();
+    return std::find(unrecorded_task_workers.begin(), unrecorded_task_workers.end(), worker)
+        != unrecorded_task_workers.end();
 }
 
 HeadLog::HeadLog(EventLoop& loop, JobStore& store, HeadLogOwner& owner, HeadValue head,
@@ -99,13 +99,13 @@
     , m_head(std::move(head))
     , m_version(version)
     , m_lease_until(claimed + leader_lease)
-    , m_last_start(claimed)
+    , m_last_write_start(claimed)
     , m_spacing(least_spacing)
     , m_writer(loop, store, mechanisms)
 {
     // What the claim's row says holds until a write of this log replaces it.
-    m_announced.head = m_head;
-    m_filled.head = m_head;
+    m_committed.head = m_head;
+    m_prepared.head = m_head;
     // Writes of another log under the same claim, if there ever is one, have other numbers.
     m_head.number = static_cast<int64_t>(loop.random() % first_number_bound);
     schedule(renewal_interval);
@@ -113,7 +113,7 @@
 
 void HeadLog::record(const std::string& job, std::function<void()> done)
 {
-    if (m_lost)
+    if (m_closed)
         return;
     const auto [entry, added] = m_waiting.try_emplace(job);
     if (added) {
@@ -128,16 +128,16 @@
 
 void HeadLog::write_soon()
 {
-    if (m_lost || m_sending || m_pending_write)
+    if (m_closed || m_sending || m_pending_write)
         return;
-    const Millis since = m_loop.now() - m_last_start;
+    const Millis since = m_loop.now() - m_last_write_start;
     schedule(std::max(gathering_time, m_spacing - since));
 }
 
 void HeadLog::hand_over(std::string leader_row, std::string incarnation,
                         std::function<void()> done)
 {
-    if (m_lost || m_successor)
+    if (m_closed || m_successor)
         return;
     m_successor = Successor { std::move(leader_row), std::move(incarnation),
                               std::move(done), false };
@@ -152,7 +152,7 @@
         waiting->second.done.push_back(std::move(done));
         return;
     }
-    for (Entry& entry : m_under_way) {
+    for (Entry& entry : m_in_flight) {
         if (entry.job == job) {
             entry.done.push_back(std::move(done));
             return;
@@ -164,19 +164,22 @@
 bool HeadLog::served() const
 {
     const Millis last_write = m_lease_until - leader_lease;
-    const Millis allowed = m_announced.precede ? slow_write_age : usual_write_age;
+    const Millis allowed
+        = m_committed.early_orders_allowed ? slow_write_age : usual_write_age;
     return m_served && m_loop.now() - last_write < allowed;
 }
 
-bool HeadLog::may_precede_record(const std::string& worker) const
+bool HeadLog::may_order_early(const std::string& worker) const
 {
-    return m_announced.precede && m_filled.precede && m_announced.head.names(worker)
-        && m_filled.head.names(worker);
+    return m_committed.early_orders_allowed && m_prepared.early_orders_allowed
+        && m_committed.head.may_run_unrecorded(worker)
+        && m_prepared.head.may_run_unrecorded(worker);
 }
 
 bool HeadLog::may_lease(const std::string& worker) const
 {
-    return !m_announced.head.silent.names(worker) && !m_filled.head.silent.names(worker);
+    return !m_committed.head.silent.contains(worker)
+        && !m_prepared.head.silent.contains(worker);
 }
 
 void HeadLog::schedule(Millis delay)
@@ -194,27 +197,27 @@
 
 void HeadLog::flush()
 {
-    if (m_lost || m_sending)
+    if (m_closed || m_sending)
         return;
     if (!m_pending_write)
-        fill();
+        prepare_write();
     send();
 }
 
 // Spaces writes by what the last one took.
-void HeadLog::learn_spacing(Millis filling, size_t bytes)
+void HeadLog::adapt_spacing(Millis filling, size_t bytes)
 {
     Millis wanted = Millis(filling.count() * processor_share);
-    if (m_link_bytes > 0) {
+    if (m_link_bytes_per_s > 0) {
         constexpr int64_t millis_of_a_second = 1000;
         const auto sent = static_cast<int64_t>(bytes);
-        wanted = std::max(wanted,
-                          Millis(sent * link_share * millis_of_a_second / m_link_bytes));
+        wanted = std::max(
+            wanted, Millis(sent * link_share * millis_of_a_second / m_link_bytes_per_s));
     }
     m_spacing = std::clamp(wanted, least_spacing, most_spacing);
 }
 
-void HeadLog::fill()
+void HeadLog::prepare_write()
 {
     const Millis begun = m_loop.now();
     m_write = {};
@@ -222,11 +225,11 @@
     m_write.puts.push_back({ lead_row(head_key), {} });
     size_t bytes = 0;
     const size_t most = m_mechanisms.uses(Mechanism::write_batching) ? most_rows : 1;
-    while (!m_queue.empty() && m_under_way.size() < most && bytes < max_transaction_bytes) {
+    while (!m_queue.empty() && m_in_flight.size() < most && bytes < max_transaction_bytes) {
         const std::string job = m_queue.front();
         m_queue.pop_front();
         const auto entry = m_waiting.find(job);
-        m_under_way.push_back(std::move(entry->second));
+        m_in_flight.push_back(std::move(entry->second));
         m_waiting.erase(entry);
         std::optional<std::string> value = m_owner.progress_of(job);
         if (!value) {
@@ -236,17 +239,17 @@
         bytes += value->size();
         m_write.puts.push_back({ progress_row(job), std::move(*value) });
     }
-    fill_head();
+    prepare_head();
     m_pending_write = true;
-    learn_spacing(m_loop.now() - begun, bytes);
+    adapt_spacing(m_loop.now() - begun, bytes);
 }
 
-void HeadLog::fill_head()
+void HeadLog::prepare_head()
 {
     const bool last = m_successor && m_queue.empty();
     // Once the store is quick again and this write holds all that waits, what comes later
     // is recorded first.
-    m_filled.precede = !last && (m_writer.slow() || !m_queue.empty())
+    m_prepared.early_orders_allowed = !last && (m_writer.slow() || !m_queue.empty())
         && m_mechanisms.uses(Mechanism::early_orders);
     ++m_head.number;
     if (last) {
@@ -257,11 +260,12 @@
         m_write.puts.push_back({ lead_row(leader_key), m_successor->leader_row });
         m_successor->written = true;
     }
-    m_head.unrecorded_on = m_owner.unrecorded_workers(m_filled.precede);
+    m_head.unrecorded_task_workers
+        = m_owner.unrecorded_workers(m_prepared.early_orders_allowed);
     SilentWorkers silent = m_owner.silent_workers();
-    silent.limit(most_silent_bytes);
+    silent.truncate_to(most_silent_bytes);
     m_head.silent = silent.rounded();
-    m_filled.head = m_head;
+    m_prepared.head = m_head;
     m_write.puts.front().value = encode(m_head);
 }
 
@@ -269,7 +273,7 @@
 {
     m_sending = true;
     const Millis asked = m_loop.now();
-    m_last_start = asked;
+    m_last_write_start = asked;
     m_writer.send(m_write, [this, asked](const StoreResult& result) {
         m_sending = false;
         answered(result, asked);
@@ -278,16 +282,16 @@
 
 void HeadLog::answered(const StoreResult& result, Millis asked)
 {
-    if (m_lost)
+    if (m_closed)
         return;
     const Millis took = m_loop.now() - asked;
     if (took > slow_write || result.status != StoreStatus::ok)
         log_event(LogLevel::info, "log_write_slow",
                   { { "epoch", m_head.epoch },
                     { "status", to_string(result.status) },
-                    { "rows", static_cast<int64_t>(m_under_way.size()) },
+                    { "rows", static_cast<int64_t>(m_in_flight.size()) },
                     { "waiting", static_cast<int64_t>(m_queue.size()) },
-                    { "unrecorded_orders", m_filled.precede ? "yes" : "no" },
+                    { "unrecorded_orders", m_prepared.early_orders_allowed ? "yes" : "no" },
                     { "after_ms", took.count() } });
     switch (result.status) {
     case StoreStatus::ok:
@@ -297,7 +301,7 @@
         if (const StoredRow* head = own_head(result))
             committed(head->version, asked);
         else
-            lost();
+            handle_fenced();
         return;
     case StoreStatus::refused:
     case StoreStatus::history_lost:
@@ -322,13 +326,13 @@
     m_version = version;
     m_lease_until = asked + leader_lease;
     m_pending_write = false;
-    m_announced = m_filled;
+    m_committed = m_prepared;
     std::vector<Entry> written;
-    written.swap(m_under_way);
+    written.swap(m_in_flight);
     const bool handed_over = m_successor && m_successor->written;
     const Millis since = m_loop.now() - asked;
     if (handed_over)
-        m_lost = true;
+        m_closed = true;
     else
         schedule(m_queue.empty() && !m_successor ? renewal_interval
                                                  : std::max(Millis(1), m_spacing - since));
@@ -346,8 +350,8 @@
         return;
     }
     m_owner.head_written();
-    if (m_announced.precede)
-        m_owner.orders_released();
+    if (m_committed.early_orders_allowed)
+        m_owner.early_orders_enabled();
 }
 
 // Returns the head row among those of a result if it is the one of the present write. Each
@@ -362,13 +366,13 @@
     return nullptr;
 }
 
-void HeadLog::lost()
+void HeadLog::handle_fenced()
 {
-    m_lost = true;
+    m_closed = true;
     m_loop.cancel(m_timer);
     log_event(LogLevel::warn, "leadership_lost",
               { { "epoch", m_head.epoch }, { "number", m_head.number } });
-    m_owner.log_lost();
+    m_owner.log_fenced();
 }
 
 } // namespace pathport::jobs
--- a/src/jobs.lib/head_log.h
+++ b/src/jobs.lib/head_log.h
@@ -38,20 +38,21 @@
     /// Workers that may run tasks of which no record tells: this leader's orders may
     /// precede their records there, or an earlier leader's did and its tasks are not known
     /// yet.
-    std::vector<std::string> unrecorded_on;
+    std::vector<std::string> unrecorded_task_workers;
     /// Workers at which the leader renews no lease.
     SilentWorkers silent {};
 
     bool operator==(const HeadValue& other) const
     {
         return epoch == other.epoch && number == other.number
-            && incarnation == other.incarnation && unrecorded_on == other.unrecorded_on
+            && incarnation == other.incarnation
+            && unrecorded_task_workers == other.unrecorded_task_workers
             && silent == other.silent;
     }
     /// Returns whether it was written by the leader before, on behalf of its successor.
     bool handed_over() const { return number < 0; }
     /// Returns whether `worker` is among those of `unrecorded_on`.
-    bool names(const std::string& worker) const;
+    bool may_run_unrecorded(const std::string& worker) const;
 };
 
 /// In place of workers in HeadValue::unrecorded_on: any worker may run such tasks.
@@ -79,9 +80,9 @@
     /// A write is in the store; workers that it does not name may be leased to.
     virtual void head_written() = 0;
     /// Orders may precede their records at the workers that the head row names now.
-    virtual void orders_released() = 0;
+    virtual void early_orders_enabled() = 0;
     /// The head row has been changed by another leader; nothing more can be written.
-    virtual void log_lost() = 0;
+    virtual void log_fenced() = 0;
 };
 
 /// The log.
@@ -100,7 +101,7 @@
     void when_recorded(const std::string& job, std::function<void()> done);
 
     /// Sets what the node's link moves in a second, in bytes; 0 for no bound.
-    void set_link(int64_t bytes) { m_link_bytes = bytes; }
+    void set_link_rate(int64_t bytes) { m_link_bytes_per_s = bytes; }
 
     /// Makes another node the leader by the next write that holds all that waits: it puts
     /// `leader_row` and a head of the next epoch for `incarnation`. Nothing can be written
@@ -117,19 +118,19 @@
     bool served() const;
     /// Returns whether the store is so slow that orders may precede their records, at the
     /// workers that the head row names.
-    bool orders_precede() const { return m_announced.precede; }
+    bool allows_early_orders() const { return m_committed.early_orders_allowed; }
     /// Returns whether an order to `worker` may be sent before it is recorded: the head row
     /// says so, and no write is under way that denies it.
-    bool may_precede_record(const std::string& worker) const;
+    bool may_order_early(const std::string& worker) const;
     /// Returns whether a lease may be given to `worker`. A successor goes by the head row
     /// that it finds, so neither that row nor a write under way may name it as silent.
     bool may_lease(const std::string& worker) const;
     /// Has the head row written as soon as the spacing of writes allows.
     void write_soon();
     /// Returns whether everything handed in is in the store.
-    bool idle() const { return m_queue.empty() && m_under_way.empty(); }
+    bool idle() const { return m_queue.empty() && m_in_flight.empty(); }
     /// Returns the number of rows that wait to be written.
-    size_t backlog() const { return m_queue.size() + m_under_way.size(); }
+    size_t backlog() const { return m_queue.size() + m_in_flight.size(); }
 
 private:
     struct Entry {
@@ -139,14 +140,14 @@
 
     void schedule(Millis delay);
     void flush();
-    void fill();
-    void fill_head();
-    void learn_spacing(Millis filling, size_t bytes);
+    void prepare_write();
+    void prepare_head();
+    void adapt_spacing(Millis filling, size_t bytes);
     void send();
     void answered(const StoreResult& result, Millis asked);
     void committed(int64_t version, Millis asked);
     const StoredRow* own_head(const StoreResult& result) const;
-    void lost();
+    void handle_fenced();
 
     EventLoop& m_loop;
     HeadLogOwner& m_owner;
@@ -154,25 +155,25 @@
     HeadValue m_head;
     int64_t m_version;
     Millis m_lease_until;
-    Millis m_last_start;
+    Millis m_last_write_start;
     Millis m_spacing; ///< Between the starts of two writes.
-    int64_t m_link_bytes = 0;
+    int64_t m_link_bytes_per_s = 0;
     StoreWriter m_writer;
     /// What a write says of orders without a record.
-    struct Announcement {
-        bool precede = false;
+    struct HeadState {
+        bool early_orders_allowed = false;
         HeadValue head;
     };
-    Announcement m_announced; ///< By the last write that is in the store.
-    Announcement m_filled; ///< By the last write that was filled.
+    HeadState m_committed; ///< By the last write that is in the store.
+    HeadState m_prepared; ///< By the last write that was filled.
     bool m_served = true;
-    bool m_lost = false;
+    bool m_closed = false;
     bool m_sending = false;
     EventLoop::TimerId m_timer = 0;
     Millis m_timer_at;
     std::deque<std::string> m_queue; ///< Jobs to write, each once.
     std::map<std::string, Entry> m_waiting; ///< By job; those in m_queue.
-    std::vector<Entry> m_under_way; ///< In the transaction that is being written.
+    std::vector<Entry> m_in_flight; ///< In the transaction that is being written.
     /// What the last write of all is to say.
     struct Successor {
         std::string leader_row;
--- a/src/jobs.lib/head_log_test.cpp
+++ b/src/jobs.lib/head_log_test.cpp
@@ -34,8 +34,8 @@
     }
     SilentWorkers silent_workers() override { return {}; }
     void head_written() override { }
-    void orders_released() override { }
-    void log_lost() override { lost = true; }
+    void early_orders_enabled() override { }
+    void log_fenced() override { lost = true; }
     bool lost = false;
 };
 
@@ -95,8 +95,8 @@
         emulator::Store& store = logged.store;
         FixedOwner& owner = logged.owner;
         HeadLog& log = logged.log;
-        store.trouble.lose = 0.5;
-        store.trouble.late = late;
+        store.injected.lost_write_replies = 0.5;
+        store.injected.delay_lost_writes = late;
         int recorded = 0;
         for (int i = 0; i < 30; ++i) {
             log.record("job" + std::to_string(i), [&] { ++recorded; });
@@ -117,11 +117,11 @@
     HeadLog& log = logged.log;
     world.run_for(Millis(3000));
     BOOST_TEST((world.now() < log.lease_until()));
-    store.trouble.busy = true;
+    store.injected.refuse_calls = true;
     world.run_for(leader_lease + Millis(100));
     BOOST_TEST((world.now() > log.lease_until()));
     BOOST_TEST(!log.served());
-    store.trouble.busy = false;
+    store.injected.refuse_calls = false;
     world.run_for(Millis(1000));
     BOOST_TEST((world.now() < log.lease_until()));
 }
@@ -139,8 +139,8 @@
         int untold = 0;
         for (int ms = 0; ms < 12000; ++ms) {
             if (ms % 2000 == 0)
-                store.trouble.slow = ms % 4000 == 0 ? 90 : 1;
-            if (ms % 7 == 0 && logged.log.may_precede_record("w1")) {
+                store.injected.latency_factor = ms % 4000 == 0 ? 90 : 1;
+            if (ms % 7 == 0 && logged.log.may_order_early("w1")) {
                 const std::string job = "job" + std::to_string(ms);
                 sent.insert(job);
                 logged.log.record(job);
@@ -151,7 +151,7 @@
                 = std::all_of(sent.begin(), sent.end(), [&](const std::string& job) {
                       return !store.value(progress_row(job)).empty();
                   });
-            if (!all_recorded && !present->names("w1"))
+            if (!all_recorded && !present->may_run_unrecorded("w1"))
                 ++untold;
         }
         BOOST_TEST(!sent.empty());
@@ -165,10 +165,10 @@
     for (int outage_ms = 2000; outage_ms < 4000; outage_ms += 100) {
         LoggedStore logged(8);
         logged.world.run_for(Millis(1000));
-        logged.store.trouble.silent = true;
+        logged.store.injected.unresponsive = true;
         logged.log.record("job");
         logged.world.run_for(Millis(outage_ms));
-        logged.store.trouble.silent = false;
+        logged.store.injected.unresponsive = false;
         logged.world.run_for(Millis(600));
         BOOST_TEST(!logged.store.value(progress_row("job")).empty(),
                    "outage of " << outage_ms << " ms");
@@ -208,8 +208,8 @@
         int allowed = 0;
         for (int ms = 0; ms < 20000; ++ms) {
             if (ms % 3000 == 0) {
-                store.trouble.slow = ms % 9000 == 0 ? 1 : 70;
-                store.trouble.lose = ms % 6000 == 0 ? 0.3 : 0;
+                store.injected.latency_factor = ms % 9000 == 0 ? 1 : 70;
+                store.injected.lost_write_replies = ms % 6000 == 0 ? 0.3 : 0;
             }
             if (ms % 700 == 0)
                 owner.silent.erase("w1");
@@ -220,7 +220,7 @@
             world.run_for(Millis(1));
             const auto present = decode_head(store.value(lead_row(head_key)));
             allowed += log.may_lease("w1") ? 1 : 0;
-            unsafe += log.may_lease("w1") && present->silent.names("w1") ? 1 : 0;
+            unsafe += log.may_lease("w1") && present->silent.contains("w1") ? 1 : 0;
         }
         BOOST_TEST(unsafe == 0, "seed " << seed << ": " << unsafe << " ms");
         BOOST_TEST(allowed > 0);
@@ -238,7 +238,7 @@
     for (int i = 0; i < 1100; ++i) {
         const std::string id = "worker-" + std::to_string(1000000 + i);
         owner.silent.set(id, int64_t(1700000000000) + int64_t(i) * 50);
-        head.unrecorded_on.push_back(id);
+        head.unrecorded_task_workers.push_back(id);
     }
     emulator::World world(1);
     emulator::Store store { world };
@@ -251,10 +251,10 @@
     const auto written = decode_head(row);
     BOOST_REQUIRE(written);
     BOOST_TEST(written->silent.size() > 500U);
-    BOOST_TEST(written->silent.names("worker-1001099"));
-    BOOST_TEST(!written->silent.names("worker-1000000"));
+    BOOST_TEST(written->silent.contains("worker-1001099"));
+    BOOST_TEST(!written->silent.contains("worker-1000000"));
     HeadValue whole = *written;
-    whole.unrecorded_on = head.unrecorded_on;
+    whole.unrecorded_task_workers = head.unrecorded_task_workers;
     BOOST_TEST(encode(whole).size() / 3 * base64_of_three < row_bytes);
 }
 
@@ -262,6 +262,6 @@
 {
     const auto head = decode_head(R"([7,12,"first",["w1"]])");
     BOOST_REQUIRE(head);
-    BOOST_TEST(head->names("w1"));
+    BOOST_TEST(head->may_run_unrecorded("w1"));
     BOOST_TEST(head->silent.empty());
 }
--- a/src/jobs.lib/job_codec.cpp
+++ b/src/jobs.lib/job_codec.cpp
@@ -37,14 +37,14 @@
     put(json, "gang", step.gang, none.gang);
     put(json, "same_rack", step.same_rack, none.same_rack);
     put(json, "speculative", step.speculative, none.speculative);
-    put(json, "lasting", step.lasting, none.lasting);
-    put(json, "fills", step.fills, none.fills);
+    put(json, "lasting", step.long_running, none.long_running);
+    put(json, "fills", step.best_effort_cpu, none.best_effort_cpu);
     put(json, "label", step.label, none.label);
-    put(json, "near", step.near_rack, none.near_rack);
+    put(json, "near", step.preferred_rack, none.preferred_rack);
     put(json, "per_worker", step.max_per_worker, none.max_per_worker);
     put(json, "image", step.image, none.image);
-    put(json, "target_ms", step.target_ms, none.target_ms);
-    put(json, "away", step.max_away, none.max_away);
+    put(json, "target_ms", step.latency_target_ms, none.latency_target_ms);
+    put(json, "away", step.max_unavailable, none.max_unavailable);
     return json;
 }
 
@@ -61,14 +61,14 @@
     step.gang = json.value("gang", false);
     step.same_rack = json.value("same_rack", false);
     step.speculative = json.value("speculative", false);
-    step.lasting = json.value("lasting", false);
-    step.fills = json.value("fills", false);
+    step.long_running = json.value("lasting", false);
+    step.best_effort_cpu = json.value("fills", false);
     step.label = json.value("label", std::string());
-    step.near_rack = json.value("near", std::string());
+    step.preferred_rack = json.value("near", std::string());
     step.max_per_worker = json.value("per_worker", 0);
     step.image = json.value("image", std::string());
-    step.target_ms = json.value("target_ms", int64_t(0));
-    step.max_away = json.value("away", 0);
+    step.latency_target_ms = json.value("target_ms", int64_t(0));
+    step.max_unavailable = json.value("away", 0);
     return step;
 }
 
@@ -115,7 +115,7 @@
     for (const StepSpec& step : job.spec.steps)
         steps.push_back(to_json(step));
     json["steps"] = std::move(steps);
-    if (job.spec.timed())
+    if (job.spec.has_schedule())
         json["times"] = { job.spec.repeats, job.spec.first_due_ms, job.spec.interval_ms };
     return json.dump(-1, ' ', false, Json::error_handler_t::replace);
 }
--- a/src/jobs.lib/job_feed.cpp
+++ b/src/jobs.lib/job_feed.cpp
@@ -25,7 +25,7 @@
                  std::function<void(const StoredRow&)> seen)
     : m_loop(loop)
     , m_store(store)
-    , m_seen(std::move(seen))
+    , m_on_row(std::move(seen))
     , m_reader(loop, store)
 {
 }
@@ -95,25 +95,25 @@
         return;
     m_known_at = std::max(m_known_at, begun);
     m_version = std::max(m_version, result.version);
-    tell(result.rows);
+    deliver(result.rows);
 }
 
 void JobFeed::reread()
 {
     const Millis begun = m_loop.now();
-    const auto seen = [this](const std::vector<StoredRow>& rows) { tell(rows); };
-    m_reader.read(jobs_table, job_part_names(), seen, [this, begun](int64_t version) {
+    const auto seen = [this](const std::vector<StoredRow>& rows) { deliver(rows); };
+    m_reader.read(jobs_table, job_partition_names(), seen, [this, begun](int64_t version) {
         m_version = std::max(m_version, version);
         m_known_at = std::max(m_known_at, begun);
         schedule(reread_pause);
     });
 }
 
-void JobFeed::tell(const std::vector<StoredRow>& rows)
+void JobFeed::deliver(const std::vector<StoredRow>& rows)
 {
     const auto alive = m_lifetime.observe();
     for (const StoredRow& row : rows) {
-        m_seen(row);
+        m_on_row(row);
         if (alive.expired())
             return;
     }
--- a/src/jobs.lib/job_feed.h
+++ b/src/jobs.lib/job_feed.h
@@ -27,7 +27,7 @@
     JobFeed(EventLoop& loop, JobStore& store, std::function<void(const StoredRow&)> seen);
 
     /// Sets what the node's link moves in a second, in bytes; 0 for no bound.
-    void set_link(int64_t bytes) { m_reader.set_link(bytes); }
+    void set_link_rate(int64_t bytes) { m_reader.set_link_rate(bytes); }
     /// Begins. All rows up to `version` are known from reads that began at `read_begun`.
     void begin(int64_t version, Millis read_begun);
     /// Asks for changes now instead of at the next regular time.
@@ -43,11 +43,11 @@
     void poll();
     void polled(const StoreResult& result, Millis begun);
     void reread();
-    void tell(const std::vector<StoredRow>& rows);
+    void deliver(const std::vector<StoredRow>& rows);
 
     EventLoop& m_loop;
     JobStore& m_store;
-    std::function<void(const StoredRow&)> m_seen;
+    std::function<void(const StoredRow&)> m_on_row;
     int64_t m_version = 0; ///< Changes are known up to here.
     Millis m_known_at;
     int m_polls_open = 0; ///< Without an answer.
--- a/src/jobs.lib/job_feed_test.cpp
+++ b/src/jobs.lib/job_feed_test.cpp
@@ -194,7 +194,7 @@
 {
     for (const int64_t slow : { 1, 20, 100 }) {
         FollowedStore followed;
-        followed.store.trouble.slow = slow;
+        followed.store.injected.latency_factor = slow;
         std::vector<std::pair<std::string, Millis>> written;
         for (int i = 0; i < 400; ++i) {
             const std::string id = "job" + std::to_string(i);
@@ -245,7 +245,7 @@
     size_t rows = 0;
     int64_t version = 0;
     reader.read(
-        jobs_table, job_part_names(),
+        jobs_table, job_partition_names(),
         [&](const std::vector<StoredRow>& some) { rows += some.size(); },
         [&](int64_t lowest) { version = lowest; });
     world.run_for(Millis(1000));
@@ -258,14 +258,14 @@
 BOOST_AUTO_TEST_CASE(feed_reads_on_after_an_outage)
 {
     FollowedStore followed;
-    followed.store.trouble.busy = true;
+    followed.store.injected.refuse_calls = true;
     followed.world.run_for(Millis(2000));
     const Millis before = followed.feed.known_at();
     followed.put("aa");
     followed.store.compact();
     followed.world.run_for(Millis(2000));
     BOOST_TEST((followed.feed.known_at() == before));
-    followed.store.trouble.busy = false;
+    followed.store.injected.refuse_calls = false;
     followed.world.run_for(Millis(2000));
     BOOST_TEST(followed.seen.count("aa") == 1U);
 }
@@ -276,9 +276,9 @@
     for (int outage_ms = 2000; outage_ms < 3000; outage_ms += 100) {
         FollowedStore followed;
         followed.world.run_for(Millis(1000));
-        followed.store.trouble.silent = true;
+        followed.store.injected.unresponsive = true;
         followed.world.run_for(Millis(outage_ms));
-        followed.store.trouble.silent = false;
+        followed.store.injected.unresponsive = false;
         const Millis back = followed.world.now();
         followed.put("aa");
         followed.world.run_for(Millis(600));
@@ -297,12 +297,12 @@
         emulator::StorePort port { store, loop, "n1" };
         TableReader reader(loop, port);
         bool done = false;
-        store.trouble.silent = true;
+        store.injected.unresponsive = true;
         reader.read(
-            jobs_table, job_part_names(), [](const std::vector<StoredRow>&) {},
+            jobs_table, job_partition_names(), [](const std::vector<StoredRow>&) {},
             [&](int64_t) { done = true; });
         world.run_for(Millis(outage_ms));
-        store.trouble.silent = false;
+        store.injected.unresponsive = false;
         world.run_for(Millis(500));
         BOOST_TEST(done, "outage of " << outage_ms << " ms");
     }
--- a/src/jobs.lib/job_model.cpp
+++ b/src/jobs.lib/job_model.cpp
@@ -15,12 +15,13 @@
 bool StepSpec::operator==(const StepSpec& other) const
 {
     return std::tie(count, need, expected_ms, after, saves_progress, gang, same_rack,
-                    speculative, lasting, fills, label, near_rack, max_per_worker, image,
-                    target_ms, max_away)
+                    speculative, long_running, best_effort_cpu, label, preferred_rack,
+                    max_per_worker, image, latency_target_ms, max_unavailable)
         == std::tie(other.count, other.need, other.expected_ms, other.after,
                     other.saves_progress, other.gang, other.same_rack, other.speculative,
-                    other.lasting, other.fills, other.label, other.near_rack,
-                    other.max_per_worker, other.image, other.target_ms, other.max_away);
+                    other.long_running, other.best_effort_cpu, other.label,
+                    other.preferred_rack, other.max_per_worker, other.image,
+                    other.latency_target_ms, other.max_unavailable);
 }
 
 bool JobSpec::operator==(const JobSpec& other) const
@@ -65,7 +66,7 @@
                     name + ": count must be 1 to " + std::to_string(max_tasks_per_step));
     if (step.need.cpu_millis < 0 || step.need.memory_mb < 0 || step.need.accelerators < 0)
         return fail(reason, name + ": resources must not be negative");
-    if (step.max_per_worker < 0 || step.max_away < 0 || step.target_ms < 0)
+    if (step.max_per_worker < 0 || step.max_unavailable < 0 || step.latency_target_ms < 0)
         return fail(reason, name + ": limits must not be negative");
     // Only earlier steps may be named, so there can be no cycle.
     for (const int earlier : step.after) {
@@ -159,9 +160,9 @@
         return "stopped";
     case EndKind::lapsed:
         return "lapsed";
-    case EndKind::broken:
+    case EndKind::gang_broken:
         return "broken";
-    case EndKind::alone:
+    case EndKind::gang_not_formed:
         break;
     }
     return "alone";
@@ -200,26 +201,28 @@
         == std::tie(other.repeat, other.step, other.index, other.job);
 }
 
-std::string WorkerLife::id() const
+std::string WorkerIncarnation::id() const
 {
-    const bool name_tells_all = born_ms == 0 && name.find(birth_mark) == std::string::npos;
+    const bool name_tells_all
+        = started_ms == 0 && name.find(birth_mark) == std::string::npos;
     if (name_tells_all)
         return name;
     std::array<char, 16> digits {};
-    const auto end
-        = std::to_chars(digits.data(), digits.data() + digits.size(), born_ms, birth_base);
+    const auto end = std::to_chars(digits.data(), digits.data() + digits.size(), started_ms,
+                                   birth_base);
     return name + birth_mark + std::string(digits.data(), end.ptr);
 }
 
-WorkerLife WorkerLife::parse(const std::string& id)
+WorkerIncarnation WorkerIncarnation::parse(const std::string& id)
 {
     const size_t mark = id.rfind(birth_mark);
     if (mark == std::string::npos)
         return { id, 0 };
-    WorkerLife life { id.substr(0, mark), 0 };
+    WorkerIncarnation life { id.substr(0, mark), 0 };
     const char* const last = id.data() + id.size();
-    const auto read = std::from_chars(id.data() + mark + 1, last, life.born_ms, birth_base);
-    if (read.ec != std::errc() || read.ptr != last || life.born_ms < 0)
+    const auto read
+        = std::from_chars(id.data() + mark + 1, last, life.started_ms, birth_base);
+    if (read.ec != std::errc() || read.ptr != last || life.started_ms < 0)
         return { id, 0 };
     return life;
 }
--- a/src/jobs.lib/job_node.cpp
+++ b/src/jobs.lib/job_node.cpp
@@ -27,8 +27,8 @@
 
 } // namespace
 
-JobNode::Impl::Impl(const NodeParts& parts, const NodeSetup& setup)
-    : m_parts(parts)
+JobNode::Impl::Impl(const NodeContext& parts, const NodeSetup& setup)
+    : m_context(parts)
     , m_setup(setup)
     , m_store(parts.loop, parts.store, parts.metrics)
     , m_configuration(parts.loop, parts.directory, parts.peers, parts.metrics, setup.node)
@@ -39,13 +39,15 @@
     , m_relay(parts.loop, parts.workers, m_gossip, m_payloads, setup.node,
               setup.incarnation)
     , m_relayed(parts.loop, parts.workers, m_gossip,
-                NodePower { setup.strength, setup.link_bytes }, own_message())
+                NodeCapacity { setup.cpu_millicores, setup.link_bytes_per_s },
+                own_message())
     , m_relayed_directory(parts.loop, parts.directory, m_gossip, own_message(),
                           [this] { return m_relayed.first_relay(); })
     , m_list_reader(parts.loop, parts.directory)
-    , m_leadership(parts.loop, m_store, m_gossip,
-                   { setup.node, setup.peer_address, setup.incarnation, setup.strength },
-                   *this)
+    , m_leadership(
+          parts.loop, m_store, m_gossip,
+          { setup.node, setup.peer_address, setup.incarnation, setup.cpu_millicores },
+          *this)
 {
 }
 
@@ -55,15 +57,15 @@
     m_leadership.begin();
 }
 
-void JobNode::Impl::leave()
+void JobNode::Impl::begin_shutdown()
 {
-    m_leaving = true;
-    m_left_at = m_parts.loop.now();
+    m_shutting_down = true;
+    m_shutdown_started = m_context.loop.now();
     m_leadership.retire();
     if (m_scheduler)
         consider_resigning();
     else
-        tell_leader_of_leaving();
+        notify_leader_of_shutdown();
 }
 
 void JobNode::Impl::elected(const Claim& claim, const std::string& predecessor)
@@ -71,32 +73,32 @@
     log_event(LogLevel::info, "elected", { { "epoch", claim.head.epoch } });
     m_followers.clear();
     m_handing_over = false;
-    m_lead_ticked = m_parts.loop.now();
-    m_elected_at = m_lead_ticked;
-    SchedulerParts parts { m_parts.loop,
-                           m_store,
-                           m_relayed_directory,
-                           m_relayed,
-                           m_advice,
-                           m_parts.wall_ms,
-                           [this] { return m_store.clock_ms(); },
-                           m_parts.metrics,
-                           WorkerBounds { m_setup.max_hold, m_setup.kill_grace,
-                                          m_setup.gang_timeout, m_setup.drain },
-                           m_setup.archive_batch,
-                           m_setup.link_bytes,
-                           m_setup.mechanisms,
-                           &m_store.clock(),
-                           [this](const std::string& service) {
-                               const auto known = configuration();
-                               return !known || known->names_service(service);
-                           },
-                           [this] { return configuration(); } };
+    m_last_lead_tick = m_context.loop.now();
+    m_elected_at = m_last_lead_tick;
+    SchedulerContext parts { m_context.loop,
+                             m_store,
+                             m_relayed_directory,
+                             m_relayed,
+                             m_advice,
+                             m_context.wall_ms,
+                             [this] { return m_store.clock_ms(); },
+                             m_context.metrics,
+                             WorkerTimeouts { m_setup.max_lease, m_setup.kill_grace,
+                                              m_setup.gang_timeout, m_setup.drain_margin },
+                             m_setup.archive_batch,
+                             m_setup.link_bytes_per_s,
+                             m_setup.mechanisms,
+                             &m_store.clock(),
+                             [this](const std::string& service) {
+                                 const auto known = configuration();
+                                 return !known || known->names_service(service);
+                             },
+                             [this] { return configuration(); } };
     std::vector<std::string> others;
     if (m_setup.mechanisms.uses(Mechanism::worker_relays))
         std::remove_copy(m_peers.begin(), m_peers.end(), std::back_inserter(others),
                          m_setup.peer_address);
-    m_relayed.begin_epoch(claim.head.epoch, m_leaders_load, others);
+    m_relayed.begin_epoch(claim.head.epoch, m_leader_call_load, others);
     m_scheduler
         = std::make_unique<Scheduler>(parts, claim, m_lifetime.wrap([this] { deposed(); }));
     m_scheduler->begin();
@@ -123,17 +125,17 @@
     request.node = m_setup.node;
     request.address = m_setup.peer_address;
     request.incarnation = m_setup.incarnation;
-    request.strength = m_setup.strength;
-    request.link_bytes = m_setup.link_bytes;
+    request.cpu_millicores = m_setup.cpu_millicores;
+    request.link_bytes_per_s = m_setup.link_bytes_per_s;
     return request;
 }
 
 // Asks any other node, since those that the store serves know who leads.
-void JobNode::Impl::leader_untold()
+void JobNode::Impl::leader_unknown()
 {
     if (m_peers.empty() || m_scheduler)
         return;
-    const std::string peer = m_peers[m_parts.loop.random() % m_peers.size()];
+    const std::string peer = m_peers[m_context.loop.random() % m_peers.size()];
     m_gossip.send(peer, own_heartbeat(), probe_timeout,
                   m_lifetime.wrap([this, peer](PeerEnd end, const PeerAnswer& answer) {
                       if (end != PeerEnd::answered)
@@ -168,14 +170,14 @@
     m_advice.set_peers({});
     if (m_successor)
         m_leadership.handed_over(*m_successor);
-    else if (!m_leaving)
+    else if (!m_shutting_down)
         m_leadership.deposed();
     m_successor.reset();
 }
 
 void JobNode::Impl::fill_heartbeat(PeerRequest& request)
 {
-    request.link_bytes = m_setup.link_bytes;
+    request.link_bytes_per_s = m_setup.link_bytes_per_s;
     request.store_served = m_store.served();
     request.store_fails = m_store.failing();
     request.peers_hash = m_peers_hash;
@@ -184,16 +186,16 @@
         return;
     request.promises = true;
     request.echo_ms = m_leader_sent_ms;
-    m_leadership.promise_until(m_parts.loop.now() + promise_time);
+    m_leadership.promise_no_claim_until(m_context.loop.now() + promise_time);
 }
 
 void JobNode::Impl::leader_answered(const PeerAnswer& answer)
 {
     m_leader_sent_ms = answer.sent_ms;
     m_leader_served = answer.served;
-    m_leaders_load = { double(answer.call_rate), double(answer.call_bytes) };
+    m_leader_call_load = { double(answer.call_rate), double(answer.call_bytes_per_s) };
     m_closed_queues = answer.closed;
-    m_closed_told = m_parts.loop.now();
+    m_closed_queues_updated = m_context.loop.now();
     if (answer.peers_hash != m_peers_hash && !answer.peers.empty()) {
         m_peers_hash = answer.peers_hash;
         m_peers = answer.peers;
@@ -208,44 +210,44 @@
 {
     if (!m_scheduler)
         return;
-    allow_for_own_pause();
-    const Millis now = m_parts.loop.now();
+    discount_own_pause();
+    const Millis now = m_context.loop.now();
     std::vector<std::string> useful;
     for (auto follower = m_followers.begin(); follower != m_followers.end();) {
-        const Millis silence = now - follower->second.heard;
+        const Millis silence = now - follower->second.last_heard;
         if (silence > follower_forgotten) {
             follower = m_followers.erase(follower);
             continue;
         }
         if (silence < follower_useful)
             useful.push_back(follower->first);
-        else if (silence > follower_late)
+        else if (silence > follower_silence_limit)
             probe_follower(follower->first);
         ++follower;
     }
     m_advice.set_peers(useful);
-    list_relays();
-    list_followers();
+    refresh_relays();
+    update_peer_list();
     update_promises();
     consider_resigning();
-    m_parts.loop.after(lead_tick_interval, m_lifetime.wrap([this] { lead_tick(); }));
+    m_context.loop.after(lead_tick_interval, m_lifetime.wrap([this] { lead_tick(); }));
 }
 
 // What this node has slept through is no silence of its followers. If it forgot them for
 // it, nobody would be left whose promise its orders need.
-void JobNode::Impl::allow_for_own_pause()
+void JobNode::Impl::discount_own_pause()
 {
-    const Millis now = m_parts.loop.now();
-    const Millis slept = now - m_lead_ticked - lead_tick_interval;
-    m_lead_ticked = now;
+    const Millis now = m_context.loop.now();
+    const Millis slept = now - m_last_lead_tick - lead_tick_interval;
+    m_last_lead_tick = now;
     if (slept <= Millis(0))
         return;
     for (auto& [address, follower] : m_followers)
-        follower.heard = std::min(now, follower.heard + slept);
+        follower.last_heard = std::min(now, follower.last_heard + slept);
 }
 
 // Followers are told of each other, so that the next leader can tell all of itself.
-void JobNode::Impl::list_followers()
+void JobNode::Impl::update_peer_list()
 {
     std::string joined;
     m_peers.clear();
@@ -259,16 +261,17 @@
 
 // One that stops in order is no follower any more, so its share moves before it ends. A new
 // leader goes by the nodes that the last one knew until all that live have asked it.
-void JobNode::Impl::list_relays()
+void JobNode::Impl::refresh_relays()
 {
-    const Millis now = m_parts.loop.now();
+    const Millis now = m_context.loop.now();
     if (!m_setup.mechanisms.uses(Mechanism::worker_relays)
         || now - m_elected_at < follower_useful)
         return;
     std::vector<RelayNode> nodes;
     for (const auto& [address, follower] : m_followers) {
-        if (now - follower.heard < follower_useful)
-            nodes.push_back({ address, { follower.strength, follower.link_bytes } });
+        if (now - follower.last_heard < follower_useful)
+            nodes.push_back(
+                { address, { follower.cpu_millicores, follower.link_bytes_per_s } });
     }
     m_relayed.set_nodes(std::move(nodes));
 }
@@ -295,7 +298,7 @@
 
 void JobNode::Impl::update_promises()
 {
-    Millis until = m_parts.loop.now() + promise_time;
+    Millis until = m_context.loop.now() + promise_time;
     for (const auto& [address, follower] : m_followers)
         until = std::min(until, follower.promised_until);
     m_scheduler->set_promised_until(until);
@@ -303,7 +306,7 @@
 
 void JobNode::Impl::update_gauges()
 {
-    Metrics& metrics = m_parts.metrics;
+    Metrics& metrics = m_context.metrics;
     metrics.set("pathport_leads", m_scheduler ? 1 : 0);
     metrics.set("pathport_epoch", double(m_leadership.epoch()));
     metrics.set("pathport_config_version", double(m_configuration.version()));
@@ -333,7 +336,7 @@
     for (size_t i = 0; i < loads.size() && i < most_labelled_workspaces; ++i) {
         const WorkspaceLoad& load = loads[i];
         const MetricLabels labels { { "workspace", load.workspace.name } };
-        Metrics& metrics = m_parts.metrics;
+        Metrics& metrics = m_context.metrics;
         metrics.set("pathport_workspace_running_cpus",
                     double(load.running.cpu_millis) / 1000, labels);
         metrics.set("pathport_workspace_bound_cpus",
@@ -342,7 +345,7 @@
     }
 }
 
-JobNode::JobNode(const NodeParts& parts, const NodeSetup& setup)
+JobNode::JobNode(const NodeContext& parts, const NodeSetup& setup)
     : m_impl(std::make_unique<Impl>(parts, setup))
 {
 }
@@ -354,9 +357,9 @@
     m_impl->begin();
 }
 
-void JobNode::leave()
+void JobNode::begin_shutdown()
 {
-    m_impl->leave();
+    m_impl->begin_shutdown();
 }
 
 bool JobNode::ready() const
@@ -384,15 +387,15 @@
     return m_impl->tracker().is_fresh();
 }
 
-Millis JobNode::come_back_after(const std::string& queue) const
+Millis JobNode::closed_queue_retry_after(const std::string& queue) const
 {
-    return m_impl->come_back_after(queue);
+    return m_impl->closed_queue_retry_after(queue);
 }
 
-Millis JobNode::pause_of(const Queue& queue, const JobSpec& spec,
-                         const std::string& id) const
+Millis JobNode::retry_after_refusal(const Queue& queue, const JobSpec& spec,
+                                    const std::string& id) const
 {
-    return m_impl->pause_of(queue, spec, id);
+    return m_impl->retry_after_refusal(queue, spec, id);
 }
 
 void JobNode::on_configuration(std::function<void(const Configuration&)> listener)
--- a/src/jobs.lib/job_node_clients.cpp
+++ b/src/jobs.lib/job_node_clients.cpp
@@ -4,8 +4,8 @@
 /// \file
 /// What a node does for clients that hand in and cancel jobs.
 
-#include "come_back.h"
 #include "job_node_impl.h"
+#include "retry_delay.h"
 #include "store_keys.h"
 
 #include <pathport/log.h>
@@ -58,51 +58,53 @@
 
 } // namespace
 
-void JobNode::Impl::note_call(const char* call, const char* outcome, Millis received)
+void JobNode::Impl::record_call_metrics(const char* call, const char* outcome,
+                                        Millis received)
 {
-    m_parts.metrics.observe_seconds("pathport_client_call_seconds",
-                                    double((m_parts.loop.now() - received).count()) / 1000,
-                                    { { "call", call }, { "outcome", outcome } });
+    m_context.metrics.observe_seconds("pathport_client_call_seconds",
+                                      double((m_context.loop.now() - received).count())
+                                          / 1000,
+                                      { { "call", call }, { "outcome", outcome } });
 }
 
-Millis JobNode::Impl::give_up_time(Millis received, Millis limit) const
+Millis JobNode::Impl::write_deadline(Millis received, Millis limit) const
 {
-    Millis span = longest_try;
+    Millis span = max_request_time;
     if (limit > Millis(0))
-        span = std::min(span, std::max(Millis(50), limit - answer_margin));
+        span = std::min(span, std::max(Millis(50), limit - reply_margin));
     return received + span;
 }
 
-std::string JobNode::Impl::leader_to_ask() const
+std::string JobNode::Impl::remote_leader() const
 {
     return m_scheduler ? std::string() : m_leadership.leader_address();
 }
 
-Millis JobNode::Impl::come_back_after(const std::string& queue) const
+Millis JobNode::Impl::closed_queue_retry_after(const std::string& queue) const
 {
-    const bool told_lately = m_parts.loop.now() - m_closed_told < door_holds;
+    const bool told_lately = m_context.loop.now() - m_closed_queues_updated < door_holds;
     if (!m_scheduler && !told_lately)
         return Millis(0);
     const auto& closed = m_scheduler ? m_scheduler->closed_queues() : m_closed_queues;
     const auto found
         = std::find_if(closed.begin(), closed.end(),
                        [&](const ClosedQueue& entry) { return entry.queue == queue; });
-    return found == closed.end() ? Millis(0) : found->come_back;
+    return found == closed.end() ? Millis(0) : found->retry_after;
 }
 
-Millis JobNode::Impl::pause_of(const Queue& queue, const JobSpec& spec,
-                               const std::string& id) const
+Millis JobNode::Impl::retry_after_refusal(const Queue& queue, const JobSpec& spec,
+                                          const std::string& id) const
 {
-    const Millis pause = come_back_pause(queue, spec, id, m_store.outage());
-    return std::max(pause, come_back_after(queue.name));
+    const Millis pause = retry_delay(queue, spec, id, m_store.outage());
+    return std::max(pause, closed_queue_retry_after(queue.name));
 }
 
 // A job that the advice can't decide about in time would stand, and its client wait in
 // vain. An earlier try, whose answer was lost, may have been taken: only what is not there
 // can be said never to run.
-void JobNode::Impl::turn_away(const std::string& queue, const std::string& id,
-                              Millis received, const callers::Caller& caller,
-                              ClientStatus answer, ClientReply done)
+void JobNode::Impl::reject_submission(const std::string& queue, const std::string& id,
+                                      Millis received, const callers::Caller& caller,
+                                      ClientStatus answer, ClientReply done)
 {
     query(id, received, turn_away_limit, caller,
           [this, queue, id, received, workspace = caller.workspace(), answer,
@@ -111,7 +113,8 @@
               // While nobody can say whether it was taken before, it may be tried again.
               const bool untold = status == ClientStatus::unavailable;
               const ClientStatus refusal = untold ? ClientStatus::refused : answer;
-              note_call("submit", taken ? "taken_before" : "turned_away", received);
+              record_call_metrics("submit", taken ? "taken_before" : "turned_away",
+                                  received);
               log_event(
                   LogLevel::info, "job_turned_away",
                   { { "job", id },
@@ -119,7 +122,7 @@
                     { "workspace", workspace },
                     { "reason", answer == ClientStatus::over_bound ? "bound" : "advice" },
                     { "taken_before", taken ? "yes" : "no" },
-                    { "come_back_ms", come_back_after(queue).count() } });
+                    { "come_back_ms", closed_queue_retry_after(queue).count() } });
               done(taken ? ClientStatus::ok : refusal);
           });
 }
@@ -139,8 +142,8 @@
                 { "key", key.text() ? "unknown" : "none" },
                 { "config", configuration.version },
                 { "age_ms", m_configuration.age().count() } });
-    m_parts.metrics.count("pathport_callers_turned_away_total",
-                          { { "verdict", denied ? "denied" : "undecided" } });
+    m_context.metrics.count("pathport_callers_turned_away_total",
+                            { { "verdict", denied ? "denied" : "undecided" } });
     return check;
 }
 
@@ -155,7 +158,7 @@
         return false;
     return std::any_of(spec.steps.begin(), spec.steps.end(), [&](const StepSpec& step) {
         const int at_once = step.gang ? step.count : 1;
-        return callers::tasks_within(step.need, known->bound, known->bound, at_once)
+        return callers::tasks_that_fit(step.need, known->bound, known->bound, at_once)
             < at_once;
     });
 }
@@ -167,11 +170,12 @@
     if (exceeds_bound(spec, caller.workspace())) {
         const ClientStatus answer
             = m_configuration.is_fresh() ? ClientStatus::over_bound : ClientStatus::refused;
-        turn_away(queue.name, id, received, caller, answer, std::move(done));
+        reject_submission(queue.name, id, received, caller, answer, std::move(done));
         return;
     }
-    if (come_back_after(queue.name) > Millis(0)) {
-        turn_away(queue.name, id, received, caller, ClientStatus::refused, std::move(done));
+    if (closed_queue_retry_after(queue.name) > Millis(0)) {
+        reject_submission(queue.name, id, received, caller, ClientStatus::refused,
+                          std::move(done));
         return;
     }
     AcceptedJob job;
@@ -185,7 +189,7 @@
     const auto written = [this, id, row, received, config_version, name = queue.name,
                           caller, done](const WriteResult& result) {
         const WriteOutcome outcome = result.outcome;
-        note_call("submit", to_string(outcome), received);
+        record_call_metrics("submit", to_string(outcome), received);
         log_event(LogLevel::info, "job_submitted",
                   { { "job", id },
                     { "queue", name },
@@ -195,7 +199,7 @@
                     { "outcome", to_string(outcome) },
                     { "evidence", to_string(result.evidence) },
                     { "version", result.version },
-                    { "after_ms", (m_parts.loop.now() - received).count() } });
+                    { "after_ms", (m_context.loop.now() - received).count() } });
         if (outcome == WriteOutcome::written) {
             done(accepted_status(id, result, caller));
             accepted(id, result);
@@ -208,7 +212,7 @@
         request.caller = caller;
         forward_write(std::move(request), outcome, done);
     };
-    m_acceptor.accept(id, row, job.workspace, give_up_time(received, limit), written);
+    m_acceptor.accept(id, row, job.workspace, write_deadline(received, limit), written);
 }
 
 // An id names one job in the whole cell, since workers know tasks by it: what another
@@ -239,7 +243,7 @@
         m_scheduler->job_announced(*job, written.version);
         return;
     }
-    const std::string leader = leader_to_ask();
+    const std::string leader = remote_leader();
     if (leader.empty())
         return;
     PeerRequest notice;
@@ -249,14 +253,14 @@
     notice.job = id;
     notice.row = written.row;
     notice.version = written.version;
-    m_gossip.send(leader, notice, ask_timeout, [](PeerEnd, const PeerAnswer&) {});
+    m_gossip.send(leader, notice, leader_query_timeout, [](PeerEnd, const PeerAnswer&) {});
 }
 
 // The store did not take it from this node; perhaps it takes it from the leader.
 void JobNode::Impl::forward_write(PeerRequest request, WriteOutcome own, ClientReply done)
 {
-    const std::string leader = leader_to_ask();
-    if (leader.empty() || own == WriteOutcome::missing || !m_leadership.leader_seen()
+    const std::string leader = remote_leader();
+    if (leader.empty() || own == WriteOutcome::missing || !m_leadership.leader_responsive()
         || !m_leader_served) {
         done(to_client(own));
         return;
@@ -292,15 +296,15 @@
 void JobNode::Impl::cancel(const std::string& id, Millis received, Millis limit,
                            const callers::Caller& caller, ClientReply done)
 {
-    record_cancel(id, caller, give_up_time(received, limit),
+    record_cancel(id, caller, write_deadline(received, limit),
                   [this, id, caller, received, done](const WriteResult& result) {
                       const WriteOutcome outcome = result.outcome;
-                      note_call("cancel", to_string(outcome), received);
+                      record_call_metrics("cancel", to_string(outcome), received);
                       log_event(
                           LogLevel::info, "cancel_recorded",
                           { { "job", id },
                             { "outcome", to_string(outcome) },
-                            { "after_ms", (m_parts.loop.now() - received).count() } });
+                            { "after_ms", (m_context.loop.now() - received).count() } });
                       if (outcome != WriteOutcome::written) {
                           PeerRequest request;
                           request.topic = PeerTopic::cancel_job;
@@ -310,22 +314,22 @@
                           return;
                       }
                       done(ClientStatus::ok);
-                      tell_of_cancel(id, m_parts.loop.now() + tell_cancel_for);
+                      notify_cancel(id, m_context.loop.now() + tell_cancel_for);
                   });
 }
 
 // The leader hears of it at once by a message, which is repeated until a leader has taken
 // it: one that is about to be another one declines it, and the feed of one that is behind
 // may bring it many seconds later, while the job's tasks run on.
-void JobNode::Impl::tell_of_cancel(const std::string& id, Millis until)
+void JobNode::Impl::notify_cancel(const std::string& id, Millis until)
 {
     if (m_scheduler) {
         m_scheduler->job_canceled(id, "own");
         return;
     }
-    const std::string leader = leader_to_ask();
+    const std::string leader = remote_leader();
     if (leader.empty()) {
-        tell_of_cancel_again(id, until);
+        retry_notify_cancel(id, until);
         return;
     }
     PeerRequest notice;
@@ -333,7 +337,7 @@
     notice.node = m_setup.node;
     notice.job = id;
     m_gossip.send(
-        leader, notice, ask_timeout,
+        leader, notice, leader_query_timeout,
         m_lifetime.wrap([this, id, leader, until](PeerEnd end, const PeerAnswer& answer) {
             if (end == PeerEnd::answered && answer.served)
                 return;
@@ -344,16 +348,16 @@
                           end == PeerEnd::answered      ? "declined"
                               : end == PeerEnd::refused ? "refused"
                                                         : "silent" } });
-            tell_of_cancel_again(id, until);
+            retry_notify_cancel(id, until);
         }));
 }
 
-void JobNode::Impl::tell_of_cancel_again(const std::string& id, Millis until)
+void JobNode::Impl::retry_notify_cancel(const std::string& id, Millis until)
 {
-    if (m_parts.loop.now() + tell_cancel_pause >= until)
+    if (m_context.loop.now() + tell_cancel_pause >= until)
         return;
-    m_parts.loop.after(tell_cancel_pause,
-                       m_lifetime.wrap([this, id, until] { tell_of_cancel(id, until); }));
+    m_context.loop.after(tell_cancel_pause,
+                         m_lifetime.wrap([this, id, until] { notify_cancel(id, until); }));
 }
 
 } // namespace pathport::jobs
--- a/src/jobs.lib/job_node_impl.h
+++ b/src/jobs.lib/job_node_impl.h
@@ -29,26 +29,26 @@
 constexpr Millis promise_time { 1000 };
 
 /// A hand-in that the store has not taken for so long is given up on.
-constexpr Millis longest_try { 1200 };
+constexpr Millis max_request_time { 1200 };
 /// Left of a client's time for the answer's way.
-constexpr Millis answer_margin { 150 };
+constexpr Millis reply_margin { 150 };
 /// How long a leader's answer to a client's question is waited for.
-constexpr Millis ask_timeout { 400 };
+constexpr Millis leader_query_timeout { 400 };
 
 /// A follower that was not heard of for so long is probed, and not made the successor.
-constexpr Millis follower_late { 600 };
+constexpr Millis follower_silence_limit { 600 };
 /// How long an answer to a message without content is waited for.
 constexpr Millis probe_timeout { 300 };
 
 /// The node behind JobNode.
 class JobNode::Impl : public LeadershipListener {
 public:
-    Impl(const NodeParts& parts, const NodeSetup& setup);
+    Impl(const NodeContext& parts, const NodeSetup& setup);
 
     // Life (job_node.cpp).
     void begin();
-    void leave();
-    bool ready() const { return configuration() != nullptr && !m_leaving; }
+    void begin_shutdown();
+    bool ready() const { return configuration() != nullptr && !m_shutting_down; }
     bool leads() const { return m_scheduler != nullptr; }
     std::shared_ptr<const Configuration> configuration() const
     {
@@ -80,8 +80,9 @@
 
     /// Returns when a caller whose job the queue does not take should come back; zero when
     /// it takes it.
-    Millis come_back_after(const std::string& queue) const;
-    Millis pause_of(const Queue& queue, const JobSpec& spec, const std::string& id) const;
+    Millis closed_queue_retry_after(const std::string& queue) const;
+    Millis retry_after_refusal(const Queue& queue, const JobSpec& spec,
+                               const std::string& id) const;
 
     // Peers' messages (job_node_peers.cpp).
     void handle_peer(const PeerRequest& request, PeerResponder done);
@@ -91,24 +92,24 @@
     void elected(const Claim& claim, const std::string& predecessor) override;
     void fill_heartbeat(PeerRequest& request) override;
     void leader_answered(const PeerAnswer& answer) override;
-    void leader_untold() override;
+    void leader_unknown() override;
 
 private:
     /// A node that follows this one.
     struct Follower {
-        Millis heard;
+        Millis last_heard;
         Millis promised_until; ///< It won't claim before; on this node's clock.
         bool store_served = false;
         bool store_fails = false;
         std::string node;
         std::string incarnation;
-        int strength = 0;
-        int64_t link_bytes = 0;
+        int cpu_millicores = 0;
+        int64_t link_bytes_per_s = 0;
         bool probing = false;
 
         NodeIdentity identity(const std::string& address) const
         {
-            return { node, address, incarnation, strength };
+            return { node, address, incarnation, cpu_millicores };
         }
     };
 
@@ -117,29 +118,30 @@
     PeerRequest own_heartbeat() const;
     void announce(const std::string& address);
     void lead_tick();
-    void allow_for_own_pause();
+    void discount_own_pause();
     void probe_follower(const std::string& address);
     void update_promises();
-    void list_followers();
-    void list_relays();
+    void update_peer_list();
+    void refresh_relays();
     // Succession (job_node_succession.cpp).
     void consider_resigning();
     bool hand_over_due() const;
     void hand_over_to(const std::string& address, const char* reason);
     std::string successor() const;
-    void tell_leader_of_leaving();
-    int strongest_follower() const;
+    void notify_leader_of_shutdown();
+    int max_follower_millicores() const;
 
     void update_workspace_gauges();
-    void turn_away(const std::string& queue, const std::string& id, Millis received,
-                   const callers::Caller& caller, ClientStatus answer, ClientReply done);
+    void reject_submission(const std::string& queue, const std::string& id, Millis received,
+                           const callers::Caller& caller, ClientStatus answer,
+                           ClientReply done);
     bool exceeds_bound(const JobSpec& spec, const std::string& workspace) const;
-    void note_call(const char* call, const char* outcome, Millis received);
+    void record_call_metrics(const char* call, const char* outcome, Millis received);
     static ClientStatus accepted_status(const std::string& id, const WriteResult& written,
                                         const callers::Caller& caller);
     void accepted(const std::string& id, const WriteResult& written);
-    void tell_of_cancel(const std::string& id, Millis until);
-    void tell_of_cancel_again(const std::string& id, Millis until);
+    void notify_cancel(const std::string& id, Millis until);
+    void retry_notify_cancel(const std::string& id, Millis until);
     void record_cancel(const std::string& id, const callers::Caller& caller, Millis give_up,
                        WriteReply done);
     void forward_write(PeerRequest request, WriteOutcome own, ClientReply done);
@@ -151,8 +153,8 @@
                       const callers::Caller& caller, StateReply done);
     void query_progress(const std::string& id, bool canceled, const callers::Caller& caller,
                         StateReply done);
-    std::string leader_to_ask() const;
-    Millis give_up_time(Millis received, Millis limit) const;
+    std::string remote_leader() const;
+    Millis write_deadline(Millis received, Millis limit) const;
 
     void handle_heartbeat(const PeerRequest& request, PeerAnswer& answer);
     void note_follower(const PeerRequest& request);
@@ -162,7 +164,7 @@
     void handle_job_accepted(const PeerRequest& request, PeerAnswer& answer);
     void handle_job_payload(const PeerRequest& request, PeerAnswer& answer) const;
 
-    NodeParts m_parts;
+    NodeContext m_context;
     NodeSetup m_setup;
     StoreHealth m_store;
     ConfigurationTracker m_configuration;
@@ -180,16 +182,16 @@
     /// Addresses of all nodes as far as the leader knows them, and a hash of the list.
     std::vector<std::string> m_peers;
     int64_t m_peers_hash = 0;
-    Millis m_lead_ticked; ///< When lead_tick() ran last.
+    Millis m_last_lead_tick; ///< When lead_tick() ran last.
     Millis m_elected_at; ///< When this node became the leader.
-    bool m_leaving = false;
-    Millis m_left_at; ///< When the planned stop began.
+    bool m_shutting_down = false;
+    Millis m_shutdown_started; ///< When the planned stop began.
     std::optional<LeaderValue> m_successor; ///< Named by the last write of this leader.
     bool m_handing_over = false; ///< The log was told to make another node the leader.
     bool m_leader_served = false; ///< Whether the store served the leader then.
-    CallLoad m_leaders_load; ///< What its calls to workers took then.
+    CallLoad m_leader_call_load; ///< What its calls to workers took then.
     std::vector<ClosedQueue> m_closed_queues; ///< As the leader last told.
-    Millis m_closed_told; ///< When that was.
+    Millis m_closed_queues_updated; ///< When that was.
     int64_t m_leader_sent_ms = 0; ///< The leader's clock in its last answer.
     Lifetime m_lifetime;
 };
--- a/src/jobs.lib/job_node_peers.cpp
+++ b/src/jobs.lib/job_node_peers.cpp
@@ -100,7 +100,7 @@
 
 void JobNode::Impl::handle_heartbeat(const PeerRequest& request, PeerAnswer& answer)
 {
-    const Millis now = m_parts.loop.now();
+    const Millis now = m_context.loop.now();
     answer.incarnation = m_setup.incarnation;
     answer.leader = m_leadership.leader().identity.address;
     answer.leader_incarnation = m_leadership.leader().identity.incarnation;
@@ -109,21 +109,22 @@
         if (request.resigned)
             m_leadership.leader_resigned(request.epoch);
         else if (request.leads)
-            m_leadership.leader_announced({ request.epoch,
-                                            { request.node, request.address,
-                                              request.incarnation, request.strength } });
+            m_leadership.leader_announced(
+                { request.epoch,
+                  { request.node, request.address, request.incarnation,
+                    request.cpu_millicores } });
         return;
     }
     answer.served = m_scheduler->log().served();
     if (request.resigned) {
         m_followers.erase(request.address); // It stops: it neither claims nor leads.
-        list_relays();
+        refresh_relays();
     } else if (!request.leads) {
         note_follower(request);
     }
-    answer.strongest_follower = strongest_follower();
+    answer.max_follower_millicores = max_follower_millicores();
     answer.call_rate = static_cast<int64_t>(m_relayed.load().calls);
-    answer.call_bytes = static_cast<int64_t>(m_relayed.load().bytes);
+    answer.call_bytes_per_s = static_cast<int64_t>(m_relayed.load().bytes);
     answer.resigned = m_scheduler->resigned();
     answer.closed = m_scheduler->closed_queues();
     answer.peers_hash = m_peers_hash;
@@ -133,15 +134,15 @@
 
 void JobNode::Impl::note_follower(const PeerRequest& request)
 {
-    const Millis now = m_parts.loop.now();
+    const Millis now = m_context.loop.now();
     Follower& follower = m_followers[request.address];
-    follower.heard = now;
+    follower.last_heard = now;
     follower.node = request.node;
     follower.incarnation = request.incarnation;
     follower.store_served = request.store_served;
     follower.store_fails = request.store_fails;
-    follower.strength = request.strength;
-    follower.link_bytes = request.link_bytes;
+    follower.cpu_millicores = request.cpu_millicores;
+    follower.link_bytes_per_s = request.link_bytes_per_s;
     follower.promised_until
         = request.promises ? Millis(request.echo_ms) + promise_time : Millis(0);
     update_promises();
@@ -157,7 +158,7 @@
         done(std::move(answer));
         return;
     }
-    query(request.job, m_parts.loop.now(), state_time, request.caller,
+    query(request.job, m_context.loop.now(), state_time, request.caller,
           [answer = std::move(answer), done](ClientStatus status, JobState state) mutable {
               answer.served = true;
               answer.status = static_cast<int>(status);
@@ -169,7 +170,7 @@
 
 void JobNode::Impl::handle_accept(const PeerRequest& request, PeerResponder done)
 {
-    const Millis give_up = m_parts.loop.now() + forwarded_try;
+    const Millis give_up = m_context.loop.now() + forwarded_try;
     Failure reason;
     const auto job = request.topic == PeerTopic::accept_job
         ? decode_accepted_job(request.job, request.row, reason)
@@ -208,7 +209,7 @@
 
 void JobNode::Impl::handle_advice(const PeerRequest& request, PeerResponder done)
 {
-    m_parts.advisor.ask(
+    m_context.advisor.ask(
         request.job, request.workers, advice_timeout,
         [node = m_setup.node, done](std::optional<std::vector<WorkerTicket>> tickets) {
             PeerAnswer answer;
--- a/src/jobs.lib/job_node_queries.cpp
+++ b/src/jobs.lib/job_node_queries.cpp
@@ -25,7 +25,8 @@
                           const callers::Caller& caller, StateReply done)
 {
     const Millis deadline = received
-        + (limit > Millis(0) ? std::max(Millis(100), limit - answer_margin) : longest_try);
+        + (limit > Millis(0) ? std::max(Millis(100), limit - reply_margin)
+                             : max_request_time);
     if (m_scheduler) {
         const auto state = m_scheduler->state_of(id);
         if (!state)
@@ -36,8 +37,8 @@
             done(ClientStatus::not_found, JobState::pending);
         return;
     }
-    const std::string leader = leader_to_ask();
-    if (leader.empty() || !m_leadership.leader_seen()) {
+    const std::string leader = remote_leader();
+    if (leader.empty() || !m_leadership.leader_responsive()) {
         query_store(id, deadline, caller, done);
         return;
     }
@@ -46,7 +47,7 @@
     request.node = m_setup.node;
     request.job = id;
     request.caller = caller;
-    m_gossip.send(leader, request, ask_timeout,
+    m_gossip.send(leader, request, leader_query_timeout,
                   m_lifetime.wrap([this, id, deadline, caller,
                                    done](PeerEnd end, const PeerAnswer& answer) {
                       const auto status = static_cast<ClientStatus>(answer.status);
@@ -64,7 +65,7 @@
 {
     StoreRange range;
     range.table = jobs_table;
-    range.part = job_part(id);
+    range.partition = job_partition(id);
     range.from = id;
     range.to = id + "/"; // Above the cancellation's key.
     range.limit = 2;
@@ -75,14 +76,14 @@
                 read_state(id, caller, result.rows, done);
                 return;
             }
-            if (m_store.failing() || m_parts.loop.now() + query_retry >= deadline) {
+            if (m_store.failing() || m_context.loop.now() + query_retry >= deadline) {
                 done(ClientStatus::unavailable, JobState::pending);
                 return;
             }
-            m_parts.loop.after(query_retry,
-                               m_lifetime.wrap([this, id, deadline, caller, done] {
-                                   query_store(id, deadline, caller, done);
-                               }));
+            m_context.loop.after(query_retry,
+                                 m_lifetime.wrap([this, id, deadline, caller, done] {
+                                     query_store(id, deadline, caller, done);
+                                 }));
         }));
 }
 
@@ -112,7 +113,7 @@
 {
     StoreRange range;
     range.table = closed_table;
-    range.part = job_part(id);
+    range.partition = job_partition(id);
     range.from = id;
     range.to = id + "!";
     range.limit = 1;
@@ -145,7 +146,7 @@
 {
     StoreRange range;
     range.table = progress_table;
-    range.part = scheduler_part;
+    range.partition = scheduler_partition;
     range.from = id;
     range.to = id + "!";
     range.limit = 1;
@@ -174,7 +175,7 @@
         done(count ? ClientStatus::ok : ClientStatus::unavailable, count.value_or(0));
         return;
     }
-    const std::string leader = leader_to_ask();
+    const std::string leader = remote_leader();
     if (leader.empty()) {
         done(ClientStatus::unavailable, 0);
         return;
@@ -183,7 +184,7 @@
     request.topic = PeerTopic::queue_pending;
     request.node = m_setup.node;
     request.queue = queue.name;
-    m_gossip.send(leader, request, ask_timeout,
+    m_gossip.send(leader, request, leader_query_timeout,
                   m_lifetime.wrap([done](PeerEnd end, const PeerAnswer& answer) {
                       const bool good = end == PeerEnd::answered && answer.served;
                       done(good ? ClientStatus::ok : ClientStatus::unavailable,
--- a/src/jobs.lib/job_node_succession.cpp
+++ b/src/jobs.lib/job_node_succession.cpp
@@ -22,7 +22,7 @@
 } // namespace
 
 // The leader must not make this node its successor any more.
-void JobNode::Impl::tell_leader_of_leaving()
+void JobNode::Impl::notify_leader_of_shutdown()
 {
     const std::string leader = m_leadership.leader_address();
     if (leader.empty())
@@ -34,18 +34,19 @@
 
 void JobNode::Impl::consider_resigning()
 {
-    const Millis now = m_parts.loop.now();
+    const Millis now = m_context.loop.now();
     const Millis last_write = m_scheduler->log().lease_until() - leader_lease;
     // A store that is slow is so for all: another leader would not be better off.
     const bool unserved = !m_scheduler->log().served() && m_store.failing()
         && now - last_write > unserved_time;
     const bool other_served
         = std::any_of(m_followers.begin(), m_followers.end(), [&](const auto& entry) {
-              return entry.second.store_served && now - entry.second.heard < follower_late;
+              return entry.second.store_served
+                  && now - entry.second.last_heard < follower_silence_limit;
           });
     const std::string next = successor();
     if (hand_over_due() && !next.empty()) {
-        hand_over_to(next, m_leaving ? "planned_stop" : "stronger_node");
+        hand_over_to(next, m_shutting_down ? "planned_stop" : "stronger_node");
         return;
     }
     const bool resigns = unserved && other_served;
@@ -62,26 +63,26 @@
 // while the store is slow this node goes on as long as its grace allows.
 bool JobNode::Impl::hand_over_due() const
 {
-    if (m_handing_over || !m_scheduler->acting()
+    if (m_handing_over || !m_scheduler->scheduling()
         || !m_setup.mechanisms.uses(Mechanism::hand_over))
         return false;
-    const bool stronger = strongest_follower() > m_setup.strength;
-    const bool overdue
-        = m_leaving && m_parts.loop.now() - m_left_at >= m_setup.hand_over_by;
-    return (m_leaving || stronger) && (!m_scheduler->log().slow() || overdue);
+    const bool stronger = max_follower_millicores() > m_setup.cpu_millicores;
+    const bool overdue = m_shutting_down
+        && m_context.loop.now() - m_shutdown_started >= m_setup.max_hand_over_delay;
+    return (m_shutting_down || stronger) && (!m_scheduler->log().slow() || overdue);
 }
 
 // Returns the address of the strongest follower that lives and that the store does not
 // fail, or "". One that the store is known to serve goes first.
 std::string JobNode::Impl::successor() const
 {
-    const Millis now = m_parts.loop.now();
+    const Millis now = m_context.loop.now();
     const auto fit = [&](const Follower& follower) {
-        return now - follower.heard < follower_late && !follower.store_fails;
+        return now - follower.last_heard < follower_silence_limit && !follower.store_fails;
     };
     const auto key = [&](const Follower& follower) {
-        return std::make_tuple(fit(follower), follower.strength, follower.store_served,
-                               follower.heard);
+        return std::make_tuple(fit(follower), follower.cpu_millicores,
+                               follower.store_served, follower.last_heard);
     };
     const auto best = std::max_element(m_followers.begin(), m_followers.end(),
                                        [&](const auto& left, const auto& right) {
@@ -110,13 +111,13 @@
 }
 
 // Returns the highest strength among the followers that live and that the store serves.
-int JobNode::Impl::strongest_follower() const
+int JobNode::Impl::max_follower_millicores() const
 {
-    const Millis now = m_parts.loop.now();
+    const Millis now = m_context.loop.now();
     int strongest = 0;
     for (const auto& [address, follower] : m_followers) {
-        if (follower.store_served && now - follower.heard < follower_late)
-            strongest = std::max(strongest, follower.strength);
+        if (follower.store_served && now - follower.last_heard < follower_silence_limit)
+            strongest = std::max(strongest, follower.cpu_millicores);
     }
     return strongest;
 }
--- a/src/jobs.lib/job_record.cpp
+++ b/src/jobs.lib/job_record.cpp
@@ -3,7 +3,7 @@
 
 #include "job_record.h"
 
-#include "come_back.h"
+#include "retry_delay.h"
 
 #include <nlohmann/json.hpp>
 
@@ -72,7 +72,7 @@
             continue;
         Json runs = Json::array();
         for (const CrashedRun& lost : task.crashes.runs())
-            runs.push_back({ lost.run, lost.lived_ms, lost.explained ? 1 : 0 });
+            runs.push_back({ lost.run, lost.runtime_ms, lost.beside_suspect ? 1 : 0 });
         crashes.push_back({ i, std::move(runs), task.crashes.tries() });
     }
     return crashes;
@@ -173,7 +173,7 @@
                       [phase](const Task& task) { return task.phase == phase; }));
 }
 
-bool Step::wary() const
+bool Step::is_suspect() const
 {
     if (!has_crashes || has_survivor || done > 0)
         return false;
@@ -188,7 +188,7 @@
                     wary ? Suspicion::suspected : Suspicion::none);
 }
 
-int Step::unsuspected() const
+int Step::unsuspected_waiting() const
 {
     return static_cast<int>(waiting_tasks(false).size());
 }
@@ -196,7 +196,7 @@
 std::vector<size_t> Step::waiting_tasks(bool with_suspects) const
 {
     std::vector<size_t> numbers;
-    const bool all_suspected = wary();
+    const bool all_suspected = is_suspect();
     for (size_t i = 0; i < tasks.size(); ++i) {
         if (tasks[i].phase == TaskPhase::waiting
             && (with_suspects || suspicion(tasks[i], all_suspected) == Suspicion::none))
@@ -211,15 +211,16 @@
                                           [](const Task& task) { return task.placed(); }));
 }
 
-void Step::note_turned_away(const std::string& worker, Millis now)
+void Step::deprioritize(const std::string& worker, Millis now)
 {
-    for (auto entry = turned_away.begin(); entry != turned_away.end();)
-        entry = entry->second <= now ? turned_away.erase(entry) : std::next(entry);
-    turned_away[worker] = now + turned_away_time;
-    if (turned_away.size() <= most_turned_away)
+    for (auto entry = deprioritized_workers.begin(); entry != deprioritized_workers.end();)
+        entry
+            = entry->second <= now ? deprioritized_workers.erase(entry) : std::next(entry);
+    deprioritized_workers[worker] = now + turned_away_time;
+    if (deprioritized_workers.size() <= most_turned_away)
         return;
-    turned_away.erase(std::min_element(
-        turned_away.begin(), turned_away.end(),
+    deprioritized_workers.erase(std::min_element(
+        deprioritized_workers.begin(), deprioritized_workers.end(),
         [](const auto& left, const auto& right) { return left.second < right.second; }));
 }
 
@@ -246,14 +247,14 @@
         return *recorded_state;
     if (m_finished_repeats == m_accepted.spec.instances())
         return JobState::completed;
-    if (gave_up)
+    if (retries_exhausted)
         return JobState::failed;
     if (canceled)
         return JobState::canceled;
     return begun ? JobState::active : JobState::pending;
 }
 
-JobState JobRecord::shown_state() const
+JobState JobRecord::visible_state() const
 {
     const JobState present = state();
     // A cancellation is recorded in a row of its own before this record learns of it.
@@ -267,7 +268,7 @@
     const JobSpec& spec = m_accepted.spec;
     if (closed() || m_next_repeat >= spec.instances())
         return std::nullopt;
-    if (!spec.timed())
+    if (!spec.has_schedule())
         return 0;
     return spec.first_due_ms + int64_t(m_next_repeat) * spec.interval_ms;
 }
@@ -317,7 +318,7 @@
     return &owner->tasks[static_cast<size_t>(id.index)];
 }
 
-bool JobRecord::may_run(const Step& step) const
+bool JobRecord::dependencies_met(const Step& step) const
 {
     const auto found = m_repeats.find(step.repeat);
     if (found == m_repeats.end())
--- a/src/jobs.lib/job_record.h
+++ b/src/jobs.lib/job_record.h
@@ -7,8 +7,8 @@
 
 #pragma once
 
+#include "capacity_table.h"
 #include "crash_record.h"
-#include "room_table.h"
 
 #include <pathport/callers/usage_ledger.h>
 #include <pathport/jobs/job_model.h>
@@ -46,15 +46,15 @@
     Millis failed_at; ///< When it did, under this leader.
     std::string ticket; ///< Of the intended start.
     CrashRecord crashes; ///< What is held against it for workers that were lost.
-    Millis released_at; ///< When it last came to wait again, under this leader.
-    Millis judged_at; ///< It waits until then, to be given up or tried again.
+    Millis requeued_at; ///< When it last came to wait again, under this leader.
+    Millis verdict_at; ///< It waits until then, to be given up or tried again.
     Millis placed_at; ///< When the worker was chosen.
     Millis ordered_at; ///< When its order was sent, so its run is no older.
     bool adopted = false; ///< An earlier leader started it, nobody here knows when.
     int percent = 0; ///< As last reported.
     Millis percent_at; ///< When `percent` last changed.
     Millis listed_at; ///< When its worker last listed it, or accepted it.
-    int pace = 100; ///< The share of its speed that it was last told.
+    int speed_percent = 100; ///< The share of its speed that it was last told.
 
     /// Returns whether a worker may be running it, or is about to.
     bool placed() const { return phase != TaskPhase::waiting && phase != TaskPhase::done; }
@@ -65,7 +65,7 @@
     bool allowed = false;
     std::string ticket;
     Millis expires; ///< After it the ticket must not be used.
-    bool left_out = false; ///< The last answer about it brought no ticket.
+    bool no_ticket = false; ///< The last answer about it brought no ticket.
     int refusals = 0; ///< Such answers in a row, up to a bound.
     Millis ask_again_at; ///< A refused worker is not asked about before it.
 
@@ -81,7 +81,7 @@
     Millis verdicts_at; ///< When the last new verdicts came.
     Millis tickets_until; ///< No ticket holds any more from then on.
     Millis retry_at; ///< No call before it.
-    int fruitless = 0; ///< Answers in a row that helped to place nothing.
+    int unhelpful_answers = 0; ///< Answers in a row that helped to place nothing.
 };
 
 /// One step of one repeat of a job.
@@ -99,15 +99,15 @@
     int64_t gang_run = 0; ///< The run that is placed at present.
     StepAdvice advice;
     /// Workers kept free for a gang while it waits for tickets or for tasks that end.
-    std::vector<WorkerNumber> kept_workers;
-    Millis kept_until;
-    Millis looked_at; ///< When a pass last looked for room for it.
-    Millis check_at; ///< No look for room before it, unless advice comes.
-    Millis wait_explained; ///< When the log last told why it waits.
+    std::vector<WorkerNumber> reserved_workers;
+    Millis reserved_until;
+    Millis placement_tried_at; ///< When a pass last looked for room for it.
+    Millis next_placement_at; ///< No look for room before it, unless advice comes.
+    Millis wait_logged_at; ///< When the log last told why it waits.
     Millis idle_since; ///< Since when nothing of it is placed though it might; else zero.
     /// Workers at which a start of a task came to nothing or a task stood still, and until
     /// when they are second choice. A bounded number of them.
-    std::map<std::string, Millis> turned_away;
+    std::map<std::string, Millis> deprioritized_workers;
 
     bool finished() const { return done == static_cast<int>(tasks.size()); }
     /// Returns the step's name: "<job>.<repeat>.<step>".
@@ -115,16 +115,16 @@
     int count(TaskPhase phase) const;
     /// Returns whether a task of it is suspected of crashing workers, and none is known to
     /// have lived on: as tasks of one step behave alike, all are suspected then.
-    bool wary() const;
+    bool is_suspect() const;
     /// Returns what speaks against a task; `wary` as wary() tells.
     static Suspicion suspicion(const Task& task, bool wary);
     /// Returns how many tasks wait that are not suspected of crashing workers.
-    int unsuspected() const;
+    int unsuspected_waiting() const;
     /// Returns the numbers of the tasks that wait, those under suspicion only if asked for.
     std::vector<size_t> waiting_tasks(bool with_suspects) const;
     int placed() const;
     /// Notes that a task came to nothing at `worker`.
-    void note_turned_away(const std::string& worker, Millis now);
+    void deprioritize(const std::string& worker, Millis now);
 };
 
 /// One repeat of a job's steps.
@@ -152,7 +152,7 @@
     callers::WorkspaceNumber workspace = callers::UsageLedger::none; ///< Whose it is.
     bool beyond_share = false; ///< Its workspace had sent more than it may count on.
     bool canceled = false; ///< A cancellation is recorded.
-    bool gave_up = false; ///< A task has failed too often.
+    bool retries_exhausted = false; ///< A task has failed too often.
     bool loaded = false; ///< An earlier leader may have known it.
     bool begun = false; ///< A task has been started at least once.
     std::optional<JobState> recorded_state; ///< The final state that its row holds.
@@ -160,7 +160,7 @@
     /// Returns the state as of what is known, recorded or not.
     JobState state() const;
     /// Returns the state that a client may be shown: a final one only once it is recorded.
-    JobState shown_state() const;
+    JobState visible_state() const;
     /// Returns whether no task of it is to be started any more.
     bool closed() const { return is_final(state()); }
 
@@ -180,7 +180,7 @@
     /// Returns the task, or nothing when its repeat isn't under way.
     Task* task(const TaskId& id);
     /// Returns whether all steps that `step` comes after are done.
-    bool may_run(const Step& step) const;
+    bool dependencies_met(const Step& step) const;
 
     /// Returns the longest chain of expected run times over its steps.
     int64_t longest_chain_ms();
--- a/src/jobs.lib/jobs_test.cpp
+++ b/src/jobs.lib/jobs_test.cpp
@@ -46,9 +46,10 @@
     return job;
 }
 
-WorkerRoom room_of(std::string_view worker, int64_t cpu, std::string_view rack = "r1-1")
+PlacementOption room_of(std::string_view worker, int64_t cpu,
+                        std::string_view rack = "r1-1")
 {
-    WorkerRoom room;
+    PlacementOption room;
     room.worker = worker;
     room.rack = rack;
     room.free = { cpu, 1000, 0 };
@@ -62,13 +63,13 @@
     StepSpec full = step_of(3, 500);
     full.after = { 0 };
     full.gang = full.same_rack = full.saves_progress = full.speculative = true;
-    full.lasting = full.fills = true;
+    full.long_running = full.best_effort_cpu = true;
     full.label = "gpu";
-    full.near_rack = "r1-3";
+    full.preferred_rack = "r1-3";
     full.max_per_worker = 2;
     full.image = "i";
-    full.target_ms = 30;
-    full.max_away = 1;
+    full.latency_target_ms = 30;
+    full.max_unavailable = 1;
     AcceptedJob job = job_of({ step_of(1, 200), full });
     job.spec.payload = "plain";
     job.spec.repeats = 4;
@@ -205,7 +206,7 @@
     step.done = 1;
     job.finish_repeat(0);
     BOOST_TEST((job.state() == JobState::completed));
-    BOOST_TEST((job.shown_state() == JobState::active));
+    BOOST_TEST((job.visible_state() == JobState::active));
     const std::string row = job.encode_progress();
     BOOST_TEST((final_state_of_progress(row) == JobState::completed));
     BOOST_TEST(!final_state_of_progress("").has_value());
@@ -215,9 +216,9 @@
 {
     JobRecord job(job_of({ step_of(1, 100) }), Millis(0));
     job.begin_repeat();
-    job.gave_up = true;
+    job.retries_exhausted = true;
     BOOST_TEST((job.state() == JobState::failed));
-    job.gave_up = false;
+    job.retries_exhausted = false;
     job.canceled = true;
     BOOST_TEST((job.state() == JobState::canceled));
 }
@@ -245,8 +246,8 @@
     const auto shares = choose_workers(step_of(3, 1000), 3, false,
                                        { room_of("wide", 8000), room_of("tight", 2000) });
     BOOST_REQUIRE(shares.size() == 2U);
-    BOOST_TEST((shares[0] == Share { "tight", 2 }));
-    BOOST_TEST((shares[1] == Share { "wide", 1 }));
+    BOOST_TEST((shares[0] == Assignment { "tight", 2 }));
+    BOOST_TEST((shares[1] == Assignment { "wide", 1 }));
 }
 
 BOOST_AUTO_TEST_CASE(gang_goes_whole_or_not_at_all)
@@ -262,22 +263,22 @@
 BOOST_AUTO_TEST_CASE(limits_of_a_step_are_kept)
 {
     StepSpec step = step_of(9, 1000);
-    WorkerRoom room = room_of("a", 8000);
+    PlacementOption room = room_of("a", 8000);
     BOOST_TEST(tasks_that_fit(step, room) == 8);
     step.max_per_worker = 2;
-    room.of_step = 1;
+    room.step_tasks = 1;
     BOOST_TEST(tasks_that_fit(step, room) == 1);
     step.max_per_worker = 0;
     step.need.accelerators = 1;
     BOOST_TEST(tasks_that_fit(step, room) == 0);
     step.need = { 100000, 100, 0 };
-    step.fills = true; // Its processors aren't counted.
+    step.best_effort_cpu = true; // Its processors aren't counted.
     BOOST_TEST(tasks_that_fit(step, room) == 10);
 }
 
 BOOST_AUTO_TEST_CASE(second_choices_are_filled_last)
 {
-    WorkerRoom tight = room_of("a", 1000);
+    PlacementOption tight = room_of("a", 1000);
     tight.second_choice = true;
     const auto shares
         = choose_workers(step_of(3, 1000), 2, false, { tight, room_of("b", 8000, "r1-2") });
@@ -289,11 +290,11 @@
 {
     Step step;
     for (int i = 0; i < 1000; ++i)
-        step.note_turned_away("w" + std::to_string(i), Millis(i));
-    BOOST_TEST(step.turned_away.size() <= 100);
-    BOOST_TEST(step.turned_away.count("w999") == 1);
-    step.note_turned_away("w0", Millis(60000));
-    BOOST_TEST(step.turned_away.size() == 1);
+        step.deprioritize("w" + std::to_string(i), Millis(i));
+    BOOST_TEST(step.deprioritized_workers.size() <= 100);
+    BOOST_TEST(step.deprioritized_workers.count("w999") == 1);
+    step.deprioritize("w0", Millis(60000));
+    BOOST_TEST(step.deprioritized_workers.size() == 1);
 }
 
 BOOST_AUTO_TEST_CASE(one_rack_is_taken_where_it_suffices)
--- a/src/jobs.lib/leadership.cpp
+++ b/src/jobs.lib/leadership.cpp
@@ -53,7 +53,7 @@
 {
     return nlohmann::json::array({ leader.epoch, leader.identity.node,
                                    leader.identity.address, leader.identity.incarnation,
-                                   leader.identity.strength })
+                                   leader.identity.cpu_millicores })
         .dump();
 }
 
@@ -66,7 +66,7 @@
         leader.identity.node = json.at(1).get<std::string>();
         leader.identity.address = json.at(2).get<std::string>();
         leader.identity.incarnation = json.at(3).get<std::string>();
-        leader.identity.strength = json.at(4).get<int>();
+        leader.identity.cpu_millicores = json.at(4).get<int>();
         return leader;
     } catch (const nlohmann::json::exception&) {
         return std::nullopt;
@@ -104,7 +104,7 @@
 void Leadership::deposed()
 {
     m_leading = false;
-    m_silent = false;
+    m_leader_silent = false;
     m_refusals = 0;
     read_rows();
     leader_announced(m_announced);
@@ -113,7 +113,7 @@
 void Leadership::handed_over(const LeaderValue& successor)
 {
     m_leading = false;
-    m_silent = false;
+    m_leader_silent = false;
     m_refusals = 0;
     m_leader_version = 0; // The rows are read again before a claim.
     follow_new_leader(successor);
@@ -126,9 +126,9 @@
     return m_leading ? std::string() : m_leader.identity.address;
 }
 
-bool Leadership::leader_seen() const
+bool Leadership::leader_responsive() const
 {
-    return m_leading || m_loop.now() - m_answered < seen_time;
+    return m_leading || m_loop.now() - m_leader_answered_at < seen_time;
 }
 
 void Leadership::heartbeat_now()
@@ -163,9 +163,9 @@
 void Leadership::follow_new_leader(const LeaderValue& leader)
 {
     m_leader = leader;
-    m_leader_known = m_loop.now();
+    m_leader_known_since = m_loop.now();
     m_deferred = false;
-    m_silent = false;
+    m_leader_silent = false;
     m_refusals = 0;
     log_event(LogLevel::info, "leader_known",
               { { "leader", m_leader.identity.node }, { "epoch", m_leader.epoch } });
@@ -187,12 +187,12 @@
     m_reading = true;
     StoreRange range;
     range.table = lead_table;
-    range.part = scheduler_part;
-    m_read_asked = m_loop.now();
+    range.partition = scheduler_partition;
+    m_read_started = m_loop.now();
     m_store.read(range, read_timeout, m_lifetime.wrap([this](const StoreResult& result) {
         m_reading = false;
         if (result.status == StoreStatus::ok)
-            m_read_time = m_loop.now() - m_read_asked;
+            m_read_time = m_loop.now() - m_read_started;
         rows_read(result);
     }));
 }
@@ -204,7 +204,7 @@
         return;
     if (result.status != StoreStatus::ok) {
         // Without the store this node can't claim. It asks the leader that was, and others.
-        m_listener.leader_untold();
+        m_listener.leader_unknown();
         if (m_rows_known)
             schedule_follow(store_retry);
         else
@@ -243,7 +243,7 @@
         // Whoever claims later does so after this read, from whose beginning the lease
         // counts.
         m_claimed_head = m_head;
-        become_leader(m_head_version, m_read_asked);
+        become_leader(m_head_version, m_read_started);
         return;
     }
     if (own_row && m_head == m_claimed_head) {
@@ -257,16 +257,16 @@
         claim();
         return;
     }
-    if (!m_silent) {
+    if (!m_leader_silent) {
         schedule_follow(Millis(0));
         return;
     }
     const Millis now = m_loop.now();
-    if (m_head_version != m_standing_version) {
-        m_standing_version = m_head_version;
-        m_standing_since = now;
+    if (m_head_version != m_stalled_head_version) {
+        m_stalled_head_version = m_head_version;
+        m_head_stalled_since = now;
     }
-    if (now - m_standing_since >= standing_time + slow_store_time()) {
+    if (now - m_head_stalled_since >= standing_time + slow_store_allowance()) {
         claim();
         return;
     }
@@ -283,16 +283,16 @@
 // One heartbeat at a time is open to a leader; its end goes on with what is to follow.
 void Leadership::ask_leader()
 {
-    if (m_asked_epoch == m_leader.epoch)
+    if (m_open_heartbeat_epoch == m_leader.epoch)
         return;
-    m_asked_epoch = m_leader.epoch;
+    m_open_heartbeat_epoch = m_leader.epoch;
     PeerRequest request;
     request.topic = PeerTopic::heartbeat;
     request.node = m_identity.node;
     request.address = m_identity.address;
     request.incarnation = m_identity.incarnation;
     request.epoch = m_leader.epoch;
-    request.strength = m_identity.strength;
+    request.cpu_millicores = m_identity.cpu_millicores;
     m_listener.fill_heartbeat(request);
     m_peers.send(m_leader.identity.address, request, heartbeat_timeout,
                  m_lifetime.wrap(
@@ -303,26 +303,26 @@
 
 void Leadership::heartbeat_answered(PeerEnd end, const PeerAnswer& answer, int64_t epoch)
 {
-    if (m_asked_epoch == epoch)
-        m_asked_epoch = none_asked;
+    if (m_open_heartbeat_epoch == epoch)
+        m_open_heartbeat_epoch = no_epoch;
     if (m_leading || m_retired || epoch != m_leader.epoch)
         return;
     if (end == PeerEnd::refused) {
-        suspect_dead();
+        on_heartbeat_refused();
         return;
     }
     m_refusals = 0;
     if (end == PeerEnd::silent) {
-        suspect_silent();
+        on_heartbeat_timeout();
         return;
     }
-    m_silent = false;
+    m_leader_silent = false;
     if (answer.leads && answer.epoch >= epoch && !answer.resigned) {
-        m_answered = m_loop.now();
+        m_leader_answered_at = m_loop.now();
         m_deferred = false;
-        m_strongest_peer = answer.strongest_follower;
+        m_max_peer_millicores = answer.max_follower_millicores;
         m_listener.leader_answered(answer);
-        schedule_follow(heartbeat_pause());
+        schedule_follow(next_heartbeat_delay());
         return;
     }
     if (answer.epoch > epoch && !answer.leader.empty()) {
@@ -333,7 +333,7 @@
     }
     const Millis now = m_loop.now();
     const bool same_process = answer.incarnation == m_leader.identity.incarnation;
-    if (same_process && !answer.leads && now - m_leader_known < claim_patience) {
+    if (same_process && !answer.leads && now - m_leader_known_since < claim_patience) {
         schedule_follow(claim_wait);
         return;
     }
@@ -342,14 +342,14 @@
     read_rows();
 }
 
-Millis Leadership::heartbeat_pause() const
+Millis Leadership::next_heartbeat_delay() const
 {
     const auto wanted
         = Millis(static_cast<int64_t>(m_group_size) * heartbeat_interval_per_node_ms);
     return std::clamp(wanted, heartbeat_interval, longest_heartbeat_interval);
 }
 
-void Leadership::suspect_dead()
+void Leadership::on_heartbeat_refused()
 {
     if (++m_refusals < refusals_of_a_dead_leader) {
         schedule_follow(refused_pause);
@@ -359,16 +359,16 @@
     read_rows();
 }
 
-void Leadership::suspect_silent()
+void Leadership::on_heartbeat_timeout()
 {
-    const bool first = !m_silent;
+    const bool first = !m_leader_silent;
     if (first) {
-        m_silent = true;
-        m_standing_version = -1;
+        m_leader_silent = true;
+        m_stalled_head_version = -1;
         log_event(LogLevel::warn, "leader_silent",
                   { { "leader", m_leader.identity.node },
                     { "epoch", m_leader.epoch },
-                    { "answered_ms_ago", (m_loop.now() - m_answered).count() } });
+                    { "answered_ms_ago", (m_loop.now() - m_leader_answered_at).count() } });
     }
     read_rows();
     // One heartbeat may be lost on a connection that went silent, and reading the rows may
@@ -383,11 +383,11 @@
     if (m_claiming || m_deferring || m_leading || m_retired)
         return;
     const Millis now = m_loop.now();
-    if (now < m_promised) {
-        schedule_follow(m_promised - now);
+    if (now < m_no_claim_until) {
+        schedule_follow(m_no_claim_until - now);
         return;
     }
-    if (gives_way() && !m_deferred) {
+    if (should_yield() && !m_deferred) {
         defer_claim();
         return;
     }
@@ -399,12 +399,13 @@
 
 // Returns whether a stronger node is known that should lead instead. A node that has just
 // started knows of none but the leader that was.
-bool Leadership::gives_way() const
+bool Leadership::should_yield() const
 {
-    return m_identity.strength < std::max(m_strongest_peer, m_leader.identity.strength);
+    return m_identity.cpu_millicores
+        < std::max(m_max_peer_millicores, m_leader.identity.cpu_millicores);
 }
 
-Millis Leadership::slow_store_time() const
+Millis Leadership::slow_store_allowance() const
 {
     return Millis(slow_store_multiple * m_read_time.count());
 }
@@ -421,7 +422,7 @@
         m_claim_wanted = true;
         read_rows();
     };
-    m_loop.after(weaker_delay + slow_store_time(), m_lifetime.wrap(look_again));
+    m_loop.after(weaker_delay + slow_store_allowance(), m_lifetime.wrap(look_again));
 }
 
 void Leadership::send_claim()
@@ -431,7 +432,7 @@
     LeaderValue leader { m_leader.epoch + 1, m_identity };
     // What earlier leaders left is passed on until this one has found it out.
     m_claimed_head = HeadValue { leader.epoch, 0, m_identity.incarnation,
-                                 m_head.unrecorded_on, m_head.silent };
+                                 m_head.unrecorded_task_workers, m_head.silent };
     m_claim_started = m_loop.now();
     m_predecessor = m_leader.identity.address;
     StoreWrite write;
@@ -486,7 +487,7 @@
 void Leadership::become_leader(int64_t head_version, Millis claimed)
 {
     m_leading = true;
-    m_silent = false;
+    m_leader_silent = false;
     m_refusals = 0;
     m_claim_wanted = false;
     Claim claim;
--- a/src/jobs.lib/leadership.h
+++ b/src/jobs.lib/leadership.h
@@ -26,7 +26,7 @@
     std::string node;
     std::string address; ///< Where it takes peers' messages.
     std::string incarnation; ///< Changes with each start.
-    int strength = 0; ///< As in NodeSetup.
+    int cpu_millicores = 0; ///< As in NodeSetup.
 };
 
 /// What the leader row holds.
@@ -51,7 +51,7 @@
     /// The leader has answered a heartbeat.
     virtual void leader_answered(const PeerAnswer& answer) = 0;
     /// The leader that was known is gone, and the store does not tell who follows it.
-    virtual void leader_untold() = 0;
+    virtual void leader_unknown() = 0;
 };
 
 /// The election as one node takes part in it.
@@ -73,7 +73,7 @@
     /// Returns the address of the leader, or "" when none is known or this node leads.
     std::string leader_address() const;
     /// Returns whether the leader has answered lately.
-    bool leader_seen() const;
+    bool leader_responsive() const;
     /// Sets how many nodes ask the leader.
     void set_group_size(size_t nodes) { m_group_size = nodes; }
     /// Asks the leader now instead of at the next regular time.
@@ -89,7 +89,10 @@
     /// Returns who leads, as well as it is known.
     const LeaderValue& leader() const { return m_leader; }
     /// Promises not to claim before `until`.
-    void promise_until(Millis until) { m_promised = std::max(m_promised, until); }
+    void promise_no_claim_until(Millis until)
+    {
+        m_no_claim_until = std::max(m_no_claim_until, until);
+    }
 
 private:
     void read_rows();
@@ -100,12 +103,12 @@
     void follow();
     void ask_leader();
     void heartbeat_answered(PeerEnd end, const PeerAnswer& answer, int64_t epoch);
-    Millis heartbeat_pause() const;
-    void suspect_dead();
-    void suspect_silent();
+    Millis next_heartbeat_delay() const;
+    void on_heartbeat_refused();
+    void on_heartbeat_timeout();
     void claim();
-    bool gives_way() const;
-    Millis slow_store_time() const;
+    bool should_yield() const;
+    Millis slow_store_allowance() const;
     void defer_claim();
     void send_claim();
     void claim_answered(const StoreResult& result, Millis asked);
@@ -126,9 +129,9 @@
     bool m_deferring = false; ///< Stronger nodes are given time to claim first.
     bool m_deferred = false; ///< They have had it, for the present leader's place.
     size_t m_group_size = 1; ///< Nodes that ask the leader.
-    int m_strongest_peer = 0; ///< Among the other followers, as the leader last told.
+    int m_max_peer_millicores = 0; ///< Among the other followers, as the leader last told.
     Millis m_read_time; ///< How long the last read of the rows took.
-    Millis m_read_asked; ///< When the last read of the rows began.
+    Millis m_read_started; ///< When the last read of the rows began.
     LeaderValue m_leader; ///< As of the last read; epoch 0 when there is none.
     int64_t m_leader_version = 0;
     HeadValue m_head;
@@ -137,15 +140,16 @@
     Millis m_claim_started;
     std::string m_predecessor; ///< Address of the leader that this node has followed.
     LeaderValue m_announced; ///< The last that another node told of while this one led.
-    Millis m_leader_known; ///< When the present leader was first read of.
-    Millis m_answered; ///< When the leader last answered that it leads.
+    Millis m_leader_known_since; ///< When the present leader was first read of.
+    Millis m_leader_answered_at; ///< When the leader last answered that it leads.
     int m_refusals = 0; ///< In a row, of the leader's address.
-    static constexpr int64_t none_asked = -1;
-    int64_t m_asked_epoch = none_asked; ///< Of the leader to whom a heartbeat is open.
-    int64_t m_standing_version = 0; ///< The head's version while the leader is silent.
-    Millis m_standing_since;
-    bool m_silent = false;
-    Millis m_promised;
+    static constexpr int64_t no_epoch = -1;
+    int64_t m_open_heartbeat_epoch
+        = no_epoch; ///< Of the leader to whom a heartbeat is open.
+    int64_t m_stalled_head_version = 0; ///< The head's version while the leader is silent.
+    Millis m_head_stalled_since;
+    bool m_leader_silent = false;
+    Millis m_no_claim_until;
     StoreWriter m_writer;
     EventLoop::TimerId m_timer = 0;
     Lifetime m_lifetime;
--- a/src/jobs.lib/leadership_test.cpp
+++ b/src/jobs.lib/leadership_test.cpp
@@ -19,8 +19,8 @@
 
 namespace {
 
-struct QuietLog {
-    QuietLog() { start_log("test", LogLevel::error); }
+struct LogFixture {
+    LogFixture() { start_log("test", LogLevel::error); }
 };
 
 /// Does writes and gives no answer to them.
@@ -68,7 +68,7 @@
     void elected(const Claim&, const std::string&) override { ++count; }
     void fill_heartbeat(PeerRequest&) override { }
     void leader_answered(const PeerAnswer&) override { }
-    void leader_untold() override { }
+    void leader_unknown() override { }
 };
 
 class PlainOwner : public HeadLogOwner {
@@ -80,13 +80,13 @@
     std::vector<std::string> unrecorded_workers(bool) override { return {}; }
     SilentWorkers silent_workers() override { return {}; }
     void head_written() override { }
-    void orders_released() override { }
-    void log_lost() override { }
+    void early_orders_enabled() override { }
+    void log_fenced() override { }
 };
 
 } // namespace
 
-BOOST_TEST_GLOBAL_FIXTURE(QuietLog);
+BOOST_TEST_GLOBAL_FIXTURE(LogFixture);
 
 // A claim whose answer is late is seen in the rows, and this node leads; then its
 // answer comes, and the node is elected a second time in the same epoch: another
@@ -150,7 +150,7 @@
     peers.open[0](PeerEnd::answered, answer);
     world.run_for(Millis(400));
     BOOST_REQUIRE(peers.open.size() == 2U);
-    store.trouble.silent = true; // For this node only, so that the leader is well.
+    store.injected.unresponsive = true; // For this node only, so that the leader is well.
     peers.open[1](PeerEnd::silent, {});
     world.run_for(Millis(5));
     BOOST_REQUIRE(peers.open.size() == 3U);
@@ -158,7 +158,7 @@
     world.run_for(Millis(290));
     BOOST_TEST(peers.open.size() == 3U);
     peers.open[2](PeerEnd::answered, answer);
-    BOOST_TEST(leadership.leader_seen());
+    BOOST_TEST(leadership.leader_responsive());
     world.run_for(Millis(2000));
     BOOST_TEST(elections.count == 0);
     BOOST_TEST(peers.open.size() > 3U);
--- a/src/jobs.lib/liveness_test.cpp
+++ b/src/jobs.lib/liveness_test.cpp
@@ -40,15 +40,15 @@
 
 } // namespace
 
-BOOST_TEST_GLOBAL_FIXTURE(QuietLog);
+BOOST_TEST_GLOBAL_FIXTURE(LogFixture);
 
 BOOST_AUTO_TEST_CASE(random_schedules_leave_no_job_standing)
 {
     const uint64_t first = first_seed();
     for (int i = 0; i < schedule_count(); ++i) {
         const uint64_t seed = first + uint64_t(i);
-        const auto wrong = play_schedule(seed, schedule_style());
-        BOOST_TEST(wrong.empty(), "seed " << seed << joined(wrong));
+        const auto wrong = run_random_schedule(seed, schedule_style());
+        BOOST_TEST(wrong.empty(), "seed " << seed << join_lines(wrong));
         BOOST_TEST_MESSAGE("seed " << seed << " played");
     }
 }
@@ -58,7 +58,7 @@
     constexpr uint64_t first = 930000;
     constexpr uint64_t schedules = 10;
     constexpr int style = 6;
-    expect_schedules_clean(style, first, schedules);
+    expect_no_violations(style, first, schedules);
 }
 
 // Schedules that have failed once, with their style and the cause that was found.
@@ -75,7 +75,7 @@
                         // its worker, and what was held against it was dropped.
     };
     for (const auto& [seed, style] : kept) {
-        const auto wrong = play_schedule(seed, style);
-        BOOST_TEST(wrong.empty(), "seed " << seed << joined(wrong));
+        const auto wrong = run_random_schedule(seed, style);
+        BOOST_TEST(wrong.empty(), "seed " << seed << join_lines(wrong));
     }
 }
--- a/src/jobs.lib/lost_workers_test.cpp
+++ b/src/jobs.lib/lost_workers_test.cpp
@@ -14,14 +14,14 @@
 using namespace pathport;
 using namespace pathport::cell_tests;
 
-BOOST_TEST_GLOBAL_FIXTURE(QuietLog);
+BOOST_TEST_GLOBAL_FIXTURE(LogFixture);
 
 BOOST_AUTO_TEST_CASE(workers_restart_under_their_ids_in_random_schedules)
 {
     constexpr uint64_t first = 940000;
     constexpr uint64_t schedules = 8;
     for (const int style : { 7, 8, 9 })
-        expect_schedules_clean(style, first, schedules);
+        expect_no_violations(style, first, schedules);
 }
 
 BOOST_AUTO_TEST_CASE(rooms_change_and_machines_are_suspended_in_random_schedules)
@@ -29,5 +29,5 @@
     constexpr uint64_t first = 955000;
     constexpr uint64_t schedules = 6;
     for (const int style : { 12, 13 })
-        expect_schedules_clean(style, first, schedules);
+        expect_no_violations(style, first, schedules);
 }
--- a/src/jobs.lib/site_fixture.h
+++ b/src/jobs.lib/multi_worker_fixture.h
@@ -7,7 +7,7 @@
 
 #pragma once
 
-#include "take_over_fixture.h"
+#include "single_worker_fixture.h"
 
 #include <algorithm>
 #include <functional>
@@ -20,12 +20,12 @@
 namespace pathport::jobs {
 
 /// Workers whose answers a test gives by hand, told apart by their ids.
-class Hands : public WorkerClient {
+class ManualWorkers : public WorkerClient {
 public:
-    struct Look {
+    struct Poll {
         std::string worker;
-        LookOrder order;
-        std::function<void(OrderStatus, std::optional<LookReport>)> done;
+        PollRequest order;
+        std::function<void(OrderStatus, std::optional<PollReport>)> done;
         bool answered = false;
     };
     struct Start {
@@ -38,11 +38,11 @@
         std::string worker;
         RunOrder order;
     };
-    explicit Hands(emulator::World& world)
+    explicit ManualWorkers(emulator::World& world)
         : m_world(world)
     {
     }
-    std::vector<Look> looks;
+    std::vector<Poll> polls;
     std::vector<Start> starts;
     std::vector<Stop> stops;
     void start(const WorkerInfo& worker, const StartOrder& order, Millis,
@@ -55,14 +55,14 @@
     {
         stops.push_back({ worker.id, order });
     }
-    void pace(const WorkerInfo&, const RunOrder&, Millis,
-              std::function<void(OrderAnswer)>) override
+    void set_speed(const WorkerInfo&, const RunOrder&, Millis,
+                   std::function<void(OrderAnswer)>) override
     {
     }
-    void look(const WorkerInfo& worker, const LookOrder& order, Millis,
-              std::function<void(OrderStatus, std::optional<LookReport>)> done) override
+    void poll(const WorkerInfo& worker, const PollRequest& order, Millis,
+              std::function<void(OrderStatus, std::optional<PollReport>)> done) override
     {
-        looks.push_back({ worker.id, order, std::move(done) });
+        polls.push_back({ worker.id, order, std::move(done) });
     }
 
 private:
@@ -70,9 +70,9 @@
 };
 
 /// What a worker has to tell.
-struct State {
-    bool silent = false;
-    bool reborn = false; ///< Another life of its name answers in its place.
+struct ManualWorkerState {
+    bool unresponsive = false;
+    bool restarted = false; ///< Another life of its name answers in its place.
     std::vector<RunningTask> running;
     std::vector<EndedTask> ended;
 };
@@ -105,14 +105,14 @@
     StepSpec step;
     step.count = tasks;
     step.need = { 450, 500, 0 };
-    step.lasting = lasting;
+    step.long_running = lasting;
     job.spec.steps.push_back(step);
     return job;
 }
 
 /// A scheduler that takes over one job; `placed` says where its tasks run, and `prepare`
 /// changes the record of it that an earlier leader left.
-struct Site {
+struct MultiWorkerTakeOver {
     emulator::World world { 3 };
     emulator::Store store { world };
     emulator::ProcessLoop loop { world };
@@ -123,14 +123,14 @@
     AdvicePool advice { loop, advisor, peers };
     Metrics metrics;
     StoreClock store_clock;
-    Hands hands { world };
-    std::map<std::string, State> workers;
+    ManualWorkers manual_workers { world };
+    std::map<std::string, ManualWorkerState> worker_states;
     std::unique_ptr<Scheduler> scheduler;
     const TaskId task { "job1", 0, 0, 0 };
 
-    Site(const std::vector<std::string>& ids, const AcceptedJob& job,
-         const std::vector<std::pair<std::string, int64_t>>& placed,
-         const std::function<void(JobRecord&)>& prepare = {})
+    MultiWorkerTakeOver(const std::vector<std::string>& ids, const AcceptedJob& job,
+                        const std::vector<std::pair<std::string, int64_t>>& placed,
+                        const std::function<void(JobRecord&)>& prepare = {})
     {
         list(ids);
         JobRecord record(job, world.now());
@@ -141,7 +141,8 @@
             there.phase = TaskPhase::running;
             there.worker = placed[i].first;
             there.run = placed[i].second;
-            workers[placed[i].first].running.push_back(running_task(id, placed[i].second));
+            worker_states[placed[i].first].running.push_back(
+                running_task(id, placed[i].second));
         }
         if (prepare)
             prepare(record);
@@ -152,15 +153,15 @@
         write.puts.push_back({ lead_row(head_key), encode(HeadValue { 1, 0, "x", {} }) });
         const Claim claim { HeadValue { 1, 0, "x", {} }, store.write_now(write).version,
                             world.now(), world.now() };
-        SchedulerParts parts { loop,
-                               port,
-                               port,
-                               hands,
-                               advice,
-                               [] { return int64_t(0); },
-                               [] { return int64_t(0); },
-                               metrics,
-                               WorkerBounds() };
+        SchedulerContext parts { loop,
+                                 port,
+                                 port,
+                                 manual_workers,
+                                 advice,
+                                 [] { return int64_t(0); },
+                                 [] { return int64_t(0); },
+                                 metrics,
+                                 WorkerTimeouts() };
         parts.store_clock = &store_clock;
         scheduler = std::make_unique<Scheduler>(parts, claim, [] {});
         scheduler->begin();
@@ -168,7 +169,7 @@
     /// The store's clock is known from now on; until then no times of it are told.
     void learn_store_clock()
     {
-        store_clock.note(world.now().count(), world.now(), world.now());
+        store_clock.update(world.now().count(), world.now(), world.now());
     }
 
     /// From now on the list names these lives.
@@ -177,7 +178,7 @@
         std::vector<WorkerInfo> infos;
         for (const std::string& id : ids) {
             infos.push_back(worker_info(id));
-            workers[id];
+            worker_states[id];
         }
         store.list_workers = [infos] { return infos; };
     }
@@ -191,79 +192,79 @@
     }
 
     /// What the worker would answer to this order now.
-    LookReport report_of(const Hands::Look& look)
+    PollReport report_of(const ManualWorkers::Poll& look)
     {
-        LookReport report = report_at(world.now());
-        const State& state = workers[look.worker];
+        PollReport report = report_at(world.now());
+        const ManualWorkerState& state = worker_states[look.worker];
         report.running = state.running;
         for (const EndedTask& end : state.ended) {
-            if (end.number > look.order.seen_through)
+            if (end.number > look.order.acked_through)
                 report.ended.push_back(end);
         }
         return report;
     }
     void answer(size_t index)
     {
-        hands.looks[index].answered = true;
-        const auto look = hands.looks[index];
-        if (workers[look.worker].silent)
+        manual_workers.polls[index].answered = true;
+        const auto look = manual_workers.polls[index];
+        if (worker_states[look.worker].unresponsive)
             look.done(OrderStatus::unknown, std::nullopt);
-        else if (workers[look.worker].reborn)
-            look.done(OrderStatus::reborn, std::nullopt);
+        else if (worker_states[look.worker].restarted)
+            look.done(OrderStatus::replaced, std::nullopt);
         else
             look.done(OrderStatus::accepted, report_of(look));
     }
     /// Answers all looks that are open, then again after each `step`.
-    void serve(Millis span, Millis step = Millis(50))
+    void answer_polls(Millis span, Millis step = Millis(50))
     {
         const Millis until = world.now() + span;
         while (world.now() < until) {
-            for (size_t i = 0; i < hands.looks.size(); ++i) {
-                if (!hands.looks[i].answered)
+            for (size_t i = 0; i < manual_workers.polls.size(); ++i) {
+                if (!manual_workers.polls[i].answered)
                     answer(i);
             }
             world.run_for(step);
         }
     }
     /// Starts that were ordered of the job's task.
-    size_t starts_of(const TaskId& id) const
+    size_t count_starts(const TaskId& id) const
     {
         return size_t(
-            std::count_if(hands.starts.begin(), hands.starts.end(),
+            std::count_if(manual_workers.starts.begin(), manual_workers.starts.end(),
                           [&](const auto& start) { return start.order.task == id; }));
     }
     /// A start is under way without an answer, with a waiting look before it and a look
     /// under a raised fence after it. The two looks are answered as of one millisecond of
     /// the worker's clock, the one after the end of the run first.
-    void crossing_reports(EndKind kind, Millis apart = Millis(0))
+    void deliver_reports_out_of_order(EndKind kind, Millis apart = Millis(0))
     {
-        serve(Millis(200));
-        for (size_t i = 0; i < hands.looks.size(); ++i) {
-            if (!hands.looks[i].answered)
+        answer_polls(Millis(200));
+        for (size_t i = 0; i < manual_workers.polls.size(); ++i) {
+            if (!manual_workers.polls[i].answered)
                 answer(i);
         }
         world.run_for(Millis(20));
-        BOOST_REQUIRE(hands.starts.size() == 1);
-        const size_t waiting = hands.looks.size() - 1;
-        BOOST_REQUIRE(!hands.looks[waiting].answered);
-        store.trouble.slow = 60;
-        const int64_t run = hands.starts[0].order.run;
-        hands.starts[0].done(OrderAnswer());
-        const size_t raised = hands.looks.size() - 1;
+        BOOST_REQUIRE(manual_workers.starts.size() == 1);
+        const size_t waiting = manual_workers.polls.size() - 1;
+        BOOST_REQUIRE(!manual_workers.polls[waiting].answered);
+        store.injected.latency_factor = 60;
+        const int64_t run = manual_workers.starts[0].order.run;
+        manual_workers.starts[0].done(OrderAnswer());
+        const size_t raised = manual_workers.polls.size() - 1;
         BOOST_REQUIRE(raised == waiting + 1);
-        State& state = workers["w1"];
+        ManualWorkerState& state = worker_states["w1"];
         state.running.push_back(running_task(task, run));
-        const LookReport before = report_of(hands.looks[raised]);
+        const PollReport before = report_of(manual_workers.polls[raised]);
         state.running.clear();
         state.ended.push_back(ended_task(1, task, run, kind));
         world.run_for(apart);
         answer(waiting);
-        hands.looks[raised].answered = true;
-        hands.looks[raised].done(OrderStatus::accepted, before);
+        manual_workers.polls[raised].answered = true;
+        manual_workers.polls[raised].done(OrderStatus::accepted, before);
         // The worker answers each look truly from now on; the store gets well.
-        serve(Millis(400), Millis(10));
-        store.trouble.slow = 1;
-        serve(Millis(8000));
+        answer_polls(Millis(400), Millis(10));
+        store.injected.latency_factor = 1;
+        answer_polls(Millis(8000));
     }
 };
 
--- a/src/jobs.lib/overloaded_leader_test.cpp
+++ b/src/jobs.lib/overloaded_leader_test.cpp
@@ -11,8 +11,8 @@
 #define BOOST_TEST_MODULE overloaded_leader
 #include <boost/test/unit_test.hpp>
 
+#include "multi_worker_fixture.h"
 #include "relay_fixture.h"
-#include "site_fixture.h"
 
 #include <pathport/log.h>
 
@@ -25,8 +25,8 @@
 
 namespace {
 
-struct QuietLog {
-    QuietLog() { start_log("test", LogLevel::error); }
+struct LogFixture {
+    LogFixture() { start_log("test", LogLevel::error); }
 };
 
 /// Other work of a process, which fills its processor.
@@ -66,7 +66,7 @@
 };
 
 /// Starts a task twenty times a second.
-void start_tasks(Path& path, Millis span)
+void start_tasks(RelayFixture& path, Millis span)
 {
     constexpr Millis pause { 50 };
     const Millis begun = path.world.now();
@@ -78,12 +78,12 @@
 
 } // namespace
 
-BOOST_TEST_GLOBAL_FIXTURE(QuietLog);
+BOOST_TEST_GLOBAL_FIXTURE(LogFixture);
 
 // The worker answers at once, and so does the relay; the leader reads it a second later.
 BOOST_AUTO_TEST_CASE(answers_that_the_leader_reads_late_are_not_taken_for_lost)
 {
-    Path path;
+    RelayFixture path;
     Backlog backlog(path.loop);
     backlog.begin(Millis(1000));
     start_tasks(path, Millis(4000)); // It learns how late answers are.
@@ -99,7 +99,7 @@
 // Waiting longer is for as long as answers are late only.
 BOOST_AUTO_TEST_CASE(a_lost_answer_is_noticed_as_soon_as_before_once_answers_are_in_time)
 {
-    Path path;
+    RelayFixture path;
     Backlog backlog(path.loop);
     backlog.begin(Millis(1000));
     start_tasks(path, Millis(4000));
@@ -108,7 +108,7 @@
     start_tasks(path, Millis(20000));
     path.world.run_for(Millis(50));
     path.unknown = 0;
-    path.there.silent = true;
+    path.relay_client.silent = true;
     path.start("lost", "p");
     path.world.run_for(Millis(600));
     BOOST_TEST(path.unknown == 1);
@@ -120,8 +120,8 @@
     constexpr int hopeless = 300;
     constexpr int64_t version = 1000;
     constexpr Millis soon { 3000 };
-    Site site({ "w1" }, job_of("first"), {});
-    site.serve(Millis(1000));
+    MultiWorkerTakeOver site({ "w1" }, job_of("first"), {});
+    site.answer_polls(Millis(1000));
     for (int i = 0; i < hopeless; ++i) {
         AcceptedJob job = job_of("hopeless" + std::to_string(i));
         job.spec.steps.front().label = "nowhere";
@@ -130,10 +130,10 @@
     ProcessorCost cost;
     cost.clock_reading = Millis(1);
     site.loop.set_processor_cost(cost);
-    site.serve(Millis(500));
+    site.answer_polls(Millis(500));
     AcceptedJob behind = job_of("behind");
     behind.queue.priority = 1;
     site.scheduler->job_announced(behind, version + hopeless);
-    site.serve(soon);
-    BOOST_TEST(site.starts_of({ "behind", 0, 0, 0 }) == 1U);
+    site.answer_polls(soon);
+    BOOST_TEST(site.count_starts({ "behind", 0, 0, 0 }) == 1U);
 }
--- a/src/jobs.lib/payload_cache.cpp
+++ b/src/jobs.lib/payload_cache.cpp
@@ -6,7 +6,7 @@
 namespace pathport::jobs {
 
 PayloadCache::PayloadCache(size_t most_bytes)
-    : m_most_bytes(most_bytes)
+    : m_max_bytes(most_bytes)
 {
 }
 
@@ -16,7 +16,7 @@
         return;
     m_order.push_back(job);
     m_bytes += job.size() + payload.size();
-    while (m_bytes > m_most_bytes && m_order.size() > 1) {
+    while (m_bytes > m_max_bytes && m_order.size() > 1) {
         const auto oldest = m_payloads.find(m_order.front());
         m_bytes -= oldest->first.size() + oldest->second.size();
         m_payloads.erase(oldest);
--- a/src/jobs.lib/payload_cache.h
+++ b/src/jobs.lib/payload_cache.h
@@ -26,7 +26,7 @@
     size_t bytes() const { return m_bytes; }
 
 private:
-    size_t m_most_bytes;
+    size_t m_max_bytes;
     size_t m_bytes = 0;
     std::unordered_map<std::string, std::string> m_payloads;
     std::deque<std::string> m_order; ///< Jobs, the oldest first.
--- a/src/jobs.lib/peer_codec.cpp
+++ b/src/jobs.lib/peer_codec.cpp
@@ -67,7 +67,7 @@
     put(json, "job", request.job);
     put(json, "queue", request.queue);
     put(json, "row", request.row);
-    if (request.caller.told_apart())
+    if (request.caller.workspaces_enabled())
         json["caller"] = request.caller.workspace();
     put(json, "version", request.version);
     put(json, "workers", request.workers);
@@ -79,8 +79,8 @@
     put(json, "served", request.store_served);
     put(json, "promises", request.promises);
     put(json, "echo", request.echo_ms);
-    put(json, "strength", request.strength);
-    put(json, "link", request.link_bytes);
+    put(json, "strength", request.cpu_millicores);
+    put(json, "link", request.link_bytes_per_s);
     put(json, "calls", request.calls);
     put(json, "peers_hash", request.peers_hash);
     return json.dump(-1, ' ', false, Json::error_handler_t::replace);
@@ -113,8 +113,8 @@
         request.store_served = json.value("served", false);
         request.promises = json.value("promises", false);
         request.echo_ms = json.value("echo", int64_t(0));
-        request.strength = json.value("strength", 0);
-        request.link_bytes = json.value("link", int64_t(0));
+        request.cpu_millicores = json.value("strength", 0);
+        request.link_bytes_per_s = json.value("link", int64_t(0));
         request.calls = json.value("calls", std::string());
         request.peers_hash = json.value("peers_hash", int64_t(0));
         return request;
@@ -136,9 +136,9 @@
     put(json, "epoch", answer.epoch);
     put(json, "sent", answer.sent_ms);
     put(json, "config", answer.config_version);
-    put(json, "strongest", answer.strongest_follower);
+    put(json, "strongest", answer.max_follower_millicores);
     put(json, "call_rate", answer.call_rate);
-    put(json, "call_bytes", answer.call_bytes);
+    put(json, "call_bytes", answer.call_bytes_per_s);
     put(json, "peers_hash", answer.peers_hash);
     put(json, "peers", answer.peers);
     put(json, "status", answer.status);
@@ -150,7 +150,7 @@
     for (const WorkerTicket& ticket : answer.tickets)
         json["tickets"].push_back({ ticket.worker, ticket.ticket });
     for (const ClosedQueue& entry : answer.closed)
-        json["closed"].push_back({ entry.queue, entry.come_back.count() });
+        json["closed"].push_back({ entry.queue, entry.retry_after.count() });
     return json.dump(-1, ' ', false, Json::error_handler_t::replace);
 }
 
@@ -169,9 +169,9 @@
         answer.epoch = json.value("epoch", int64_t(0));
         answer.sent_ms = json.value("sent", int64_t(0));
         answer.config_version = json.value("config", int64_t(0));
-        answer.strongest_follower = json.value("strongest", 0);
+        answer.max_follower_millicores = json.value("strongest", 0);
         answer.call_rate = json.value("call_rate", int64_t(0));
-        answer.call_bytes = json.value("call_bytes", int64_t(0));
+        answer.call_bytes_per_s = json.value("call_bytes", int64_t(0));
         answer.peers_hash = json.value("peers_hash", int64_t(0));
         answer.peers = json.value("peers", std::vector<std::string>());
         answer.status = json.value("status", 0);
--- a/src/jobs.lib/progress_row_test.cpp
+++ b/src/jobs.lib/progress_row_test.cpp
@@ -95,7 +95,7 @@
 /// Brings a job under way into a state that it may have between two records.
 void change_job(Random& random, JobRecord& job)
 {
-    const int begun = job.accepted().spec.timed() ? 1 + below(random, 3) : 1;
+    const int begun = job.accepted().spec.has_schedule() ? 1 + below(random, 3) : 1;
     for (int number = 0; number < begun; ++number) {
         Repeat& repeat = job.begin_repeat();
         for (Step& step : repeat.steps)
@@ -146,7 +146,8 @@
         const Repeat& other = loaded.repeats().at(number);
         for (size_t i = 0; i < repeat.steps.size(); ++i) {
             check_step(repeat.steps[i], other.steps[i]);
-            BOOST_TEST(loaded.may_run(other.steps[i]) == job.may_run(repeat.steps[i]));
+            BOOST_TEST(loaded.dependencies_met(other.steps[i])
+                       == job.dependencies_met(repeat.steps[i]));
         }
     }
 }
--- a/src/jobs.lib/advice_door.cpp
+++ b/src/jobs.lib/queue_admission.cpp
@@ -1,7 +1,7 @@
 // Copyright the pathport authors.
 // SPDX-License-Identifier: Apache-2.0
 
-#include "advice_door.h"
+#include "queue_admission.h"
 
 #include <algorithm>
 #include <cmath>
@@ -29,7 +29,7 @@
 
 double cost_of(const AdviceDemand& demand)
 {
-    return demand.steps * demand.question_ms;
+    return demand.steps * demand.query_ms;
 }
 
 // Returns how much of the advisor's time `other` takes until the backlog of `own` has been
@@ -54,7 +54,7 @@
     oldest = std::max(oldest, waited);
 }
 
-void AdviceDoor::update(const std::vector<AdviceDemand>& demands, double callers)
+void QueueAdmission::update(const std::vector<AdviceDemand>& demands, double callers)
 {
     const double usable = std::max(least_callers, callers);
     std::vector<ClosedQueue> closed;
@@ -68,7 +68,7 @@
         const Millis by_cost(static_cast<int64_t>(std::ceil(cost / usable)));
         m_waits[own.queue] = by_cost;
         // The oldest step's question may be under way; its own time is no backlog.
-        const Millis question(static_cast<int64_t>(own.question_ms));
+        const Millis question(static_cast<int64_t>(own.query_ms));
         const bool overdue = own.oldest - question > longest_wait;
         const bool was_closed
             = std::any_of(m_closed.begin(), m_closed.end(), [&](const ClosedQueue& entry) {
@@ -81,7 +81,7 @@
     m_closed = std::move(closed);
 }
 
-Millis AdviceDoor::wait_of(const std::string& queue) const
+Millis QueueAdmission::estimated_wait(const std::string& queue) const
 {
     const auto found = m_waits.find(queue);
     return found == m_waits.end() ? Millis(0) : found->second;
--- a/src/jobs.lib/advice_door.h
+++ b/src/jobs.lib/queue_admission.h
@@ -22,7 +22,7 @@
     int priority = 0; ///< 0 goes first; the others share by it.
     int steps = 0; ///< Of which nothing is placed and no question was answered.
     Millis oldest; ///< How long the first of them has waited.
-    double question_ms = 0; ///< What the advisor takes for a usual question.
+    double query_ms = 0; ///< What the advisor takes for a usual question.
 
     /// Adds a step that has waited for so long. A late one goes behind all that can be in
     /// time, so it tells nothing of how long a new one would wait.
@@ -32,7 +32,7 @@
 /// Closes a queue when what it has accepted would wait too long, and opens it again when
 /// the backlog has gone. Less urgent queues close first, since the more urgent ones have
 /// the larger share of the advice.
-class AdviceDoor {
+class QueueAdmission {
 public:
     /// Takes what waits in all queues, and how many questions the advisor works on at a
     /// time, less what the most urgent queues take of that.
@@ -41,7 +41,7 @@
     /// Returns the queues that are closed.
     const std::vector<ClosedQueue>& closed() const { return m_closed; }
     /// Returns how long a step that comes now to the queue is thought to wait.
-    Millis wait_of(const std::string& queue) const;
+    Millis estimated_wait(const std::string& queue) const;
 
 private:
     std::vector<ClosedQueue> m_closed;
--- a/src/jobs.lib/random_schedule.cpp
+++ b/src/jobs.lib/random_schedule.cpp
@@ -115,12 +115,12 @@
 }
 
 /// Workspaces of unlike size; some have no bound.
-std::vector<emulator::WorkspaceFacts> first_workspaces()
+std::vector<emulator::WorkspaceSetup> first_workspaces()
 {
     constexpr int count = 6;
-    std::vector<emulator::WorkspaceFacts> all;
+    std::vector<emulator::WorkspaceSetup> all;
     for (int i = 0; i < count; ++i) {
-        emulator::WorkspaceFacts facts;
+        emulator::WorkspaceSetup facts;
         facts.workspace.name = "team" + std::to_string(i);
         facts.workspace.weight = i == 0 ? 6 : 1;
         if (i % 3 != 0)
@@ -140,15 +140,18 @@
     {
         add_queues(m_cell);
         m_cell.workers.allowed_tenths = style.allowed_tenths;
-        m_cell.workers.two_losses_suffice = style.storms;
+        m_cell.workers.give_up_after_two_losses = style.storms;
         m_cell.workers.on_crash
-            = [this](Millis pause) { m_cell.disturbed(pause, m_style.settles_in); };
+            = [this](Millis pause) { m_cell.note_disturbance(pause, m_style.settles_in); };
     }
 
     std::vector<std::string> run();
 
 private:
-    int64_t below(int64_t bound) { return int64_t(m_cell.world.below(uint64_t(bound))); }
+    int64_t below(int64_t bound)
+    {
+        return int64_t(m_cell.world.random_below(uint64_t(bound)));
+    }
     bool chance(double share) { return m_cell.world.chance(share); }
     std::string random_node();
     std::string random_worker();
@@ -158,7 +161,7 @@
     void silence_connections();
     void configure();
     void restart_workers();
-    void make_crashing(std::vector<TaskFacts>& steps);
+    void make_crashing(std::vector<StepModel>& steps);
     void resize_workers();
     void suspend_node();
     void rekey();
@@ -194,17 +197,17 @@
 
 void Schedule::submit_random()
 {
-    std::vector<TaskFacts> steps;
+    std::vector<StepModel> steps;
     const auto count = 1 + below(3);
     const bool advised = chance(0.5);
     for (int64_t i = 0; i < count; ++i) {
-        TaskFacts facts
-            = simple_facts(1 + int(below(chance(0.2) ? 18 : 6)), 100 + below(2500));
+        StepModel facts
+            = one_core_step(1 + int(below(chance(0.2) ? 18 : 6)), 100 + below(2500));
         facts.gang = chance(0.2);
         if (facts.gang)
             facts.count = std::min(facts.count, advised ? 3 : 5);
         facts.need.cpu_millis = 400 + below(1800);
-        facts.fails = chance(0.25) ? 1 + int(below(3)) : 0;
+        facts.failing_runs = chance(0.25) ? 1 + int(below(3)) : 0;
         facts.saves_progress = chance(0.3);
         facts.max_per_worker = !facts.gang && chance(0.2) ? 2 : 0;
         if (i > 0 && chance(0.7))
@@ -244,8 +247,8 @@
     const double share = chance(0.5) ? 1 : 0.4;
     for (const std::string& id : m_cell.workers.ids()) {
         if (chance(share))
-            m_cell.workers.afflict(id, WorkerFault::unlisted,
-                                   span + Millis(1000 + below(2000)));
+            m_cell.workers.inject_fault(id, WorkerFault::unlisted,
+                                        span + Millis(1000 + below(2000)));
     }
 }
 
@@ -260,7 +263,7 @@
         m_cell.freeze(random_node(), span);
         break;
     case 3:
-        m_cell.cut_peers(random_node(), span);
+        m_cell.partition_from_peers(random_node(), span);
         break;
     case 4:
         m_cell.stop(random_node(), Millis(500));
@@ -274,32 +277,34 @@
 void Schedule::store_trouble(int64_t kind, Millis span)
 {
     emulator::Store& store = m_cell.store;
-    m_cell.out_of_touch(span);
+    m_cell.note_contact_loss(span);
     if (kind < 4 && chance(0.5))
         lapse_entries(span);
     switch (kind) {
     case 0:
-        store.trouble.busy = true;
-        m_cell.world.after(span, [&store] { store.trouble.busy = false; });
+        store.injected.refuse_calls = true;
+        m_cell.world.after(span, [&store] { store.injected.refuse_calls = false; });
         break;
     case 1:
-        store.trouble.silent = true;
-        m_cell.world.after(span, [&store] { store.trouble.silent = false; });
+        store.injected.unresponsive = true;
+        m_cell.world.after(span, [&store] { store.injected.unresponsive = false; });
         break;
     case 2:
-        store.trouble.slow = chance(0.5) ? 100 : 30;
-        m_cell.world.after(span, [&store] { store.trouble.slow = 1; });
+        store.injected.latency_factor = chance(0.5) ? 100 : 30;
+        m_cell.world.after(span, [&store] { store.injected.latency_factor = 1; });
         break;
     case 3:
-        store.trouble.lose = 0.35;
-        store.trouble.lose_reads = m_style.configured > 0 ? 0.35 : 0;
-        store.trouble.late = chance(0.5);
-        m_cell.world.after(span,
-                           [&store] { store.trouble.lose = store.trouble.lose_reads = 0; });
+        store.injected.lost_write_replies = 0.35;
+        store.injected.lost_read_replies = m_style.configured > 0 ? 0.35 : 0;
+        store.injected.delay_lost_writes = chance(0.5);
+        m_cell.world.after(span, [&store] {
+            store.injected.lost_write_replies = store.injected.lost_read_replies = 0;
+        });
         break;
     case 4: {
         const std::string node = random_node();
-        auto& nodes = chance(0.5) ? store.trouble.refused_nodes : store.trouble.cut_nodes;
+        auto& nodes
+            = chance(0.5) ? store.injected.refused_nodes : store.injected.partitioned_nodes;
         nodes.insert(node);
         m_cell.world.after(span, [&nodes, node] { nodes.erase(node); });
         break;
@@ -322,21 +327,21 @@
         workers.crash(id, span);
         break;
     case 1:
-        workers.cut(id, span);
+        workers.partition(id, span);
         break;
     case 2:
-        workers.cut(id, span, random_node());
+        workers.partition(id, span, random_node());
         break;
     case 3:
-        workers.trouble.unanswered = 0.2;
-        m_cell.world.after(span, [&workers] { workers.trouble.unanswered = 0; });
+        workers.injected.unanswered_share = 0.2;
+        m_cell.world.after(span, [&workers] { workers.injected.unanswered_share = 0; });
         break;
     case 4:
-        workers.trouble.late = m_style.late;
-        m_cell.world.after(span, [&workers] { workers.trouble.late = 0; });
+        workers.injected.delayed_share = m_style.late;
+        m_cell.world.after(span, [&workers] { workers.injected.delayed_share = 0; });
         break;
     case 5:
-        workers.leave(id, span);
+        workers.stop_unannounced(id, span);
         workers.add("pool", { 8000, 16000, 0 });
         break;
     case 6:
@@ -347,9 +352,9 @@
         // The faults of single workers, of one or of a third of them.
         for (const std::string& other : workers.ids()) {
             if (other == id || (kind % 2 == 0 && chance(0.3)))
-                workers.afflict(other,
-                                static_cast<WorkerFault>(below(emulator::worker_faults)),
-                                span, chance(0.5) ? 1 : 0.5);
+                workers.inject_fault(
+                    other, static_cast<WorkerFault>(below(emulator::worker_fault_count)),
+                    span, chance(0.5) ? 1 : 0.5);
         }
         break;
     }
@@ -364,7 +369,7 @@
     const int64_t kind = below(node_kinds + store_kinds + worker_kinds);
     if ((trouble_mask() >> kind & 1) == 0)
         return;
-    m_cell.disturbed(span, m_style.settles_in);
+    m_cell.note_disturbance(span, m_style.settles_in);
     if (kind < node_kinds)
         node_trouble(kind, span);
     else if (kind < node_kinds + store_kinds)
@@ -376,8 +381,8 @@
 void Schedule::silence_connections()
 {
     constexpr int64_t most_kept = 24;
-    m_cell.disturbed(Millis(0), m_style.settles_in);
-    m_cell.silence_connections(int(below(most_kept + 1)));
+    m_cell.note_disturbance(Millis(0), m_style.settles_in);
+    m_cell.blackhole_connections(int(below(most_kept + 1)));
 }
 
 // The operators add a queue that nobody uses, or drop the last one that was added.
@@ -401,15 +406,15 @@
 void Schedule::restart_workers()
 {
     emulator::Workers& workers = m_cell.workers;
-    emulator::Comeback how;
-    how.pause = Millis(1 + below(chance(0.5) ? 300 : 4000));
+    emulator::RestartOptions how;
+    how.downtime = Millis(1 + below(chance(0.5) ? 300 : 4000));
     how.listed_after = Millis(below(1500));
-    how.clock_ms = chance(0.5) ? 0 : below(1000000);
-    how.silent = chance(0.4);
+    how.start_clock_ms = chance(0.5) ? 0 : below(1000000);
+    how.unresponsive = chance(0.4);
     const double share = chance(0.3) ? 0.33 : 0;
     const bool twice = chance(0.2);
-    const Millis again = how.pause + Millis(below(1500));
-    m_cell.disturbed(again + how.pause + how.listed_after, m_style.settles_in);
+    const Millis again = how.downtime + Millis(below(1500));
+    m_cell.note_disturbance(again + how.downtime + how.listed_after, m_style.settles_in);
     const std::string one = random_worker();
     for (const std::string& id : workers.ids()) {
         if (id != one && !chance(share))
@@ -421,14 +426,14 @@
 }
 
 // One task of a step crashes its workers, or some do, at once or after a while.
-void Schedule::make_crashing(std::vector<TaskFacts>& steps)
+void Schedule::make_crashing(std::vector<StepModel>& steps)
 {
-    TaskFacts& facts = steps[size_t(below(int64_t(steps.size())))];
-    facts.crashers = chance(0.7) ? 1 : 1 + int(below(facts.count));
-    facts.crash_ms = chance(0.7) ? below(40) : below(1500);
-    facts.crash_pause = Millis(500 + below(chance(0.3) ? 9000 : 3500));
-    facts.crash_silent = chance(0.3);
-    facts.fails = 0;
+    StepModel& facts = steps[size_t(below(int64_t(steps.size())))];
+    facts.crashing_task_count = chance(0.7) ? 1 : 1 + int(below(facts.count));
+    facts.crash_after_ms = chance(0.7) ? below(40) : below(1500);
+    facts.crash_downtime = Millis(500 + below(chance(0.3) ? 9000 : 3500));
+    facts.crash_unresponsive = chance(0.3);
+    facts.failing_runs = 0;
 }
 
 // One worker or a third of them have less room for a while.
@@ -451,7 +456,7 @@
 void Schedule::suspend_node()
 {
     const Millis span(500 + below(8000));
-    m_cell.disturbed(span, m_style.settles_in);
+    m_cell.note_disturbance(span, m_style.settles_in);
     m_cell.suspend(random_node(), span);
 }
 
@@ -475,8 +480,8 @@
 // A workspace loses or gets keys, or its bound changes.
 void Schedule::rekey()
 {
-    std::vector<emulator::WorkspaceFacts> all = m_cell.workspaces();
-    emulator::WorkspaceFacts& facts = all[size_t(below(int64_t(all.size())))];
+    std::vector<emulator::WorkspaceSetup> all = m_cell.workspaces();
+    emulator::WorkspaceSetup& facts = all[size_t(below(int64_t(all.size())))];
     const int64_t kind = below(5);
     if (kind == 0 && !facts.keys.empty()) {
         m_gone_keys.push_back(facts.keys.back());
@@ -496,14 +501,14 @@
 void Schedule::pry()
 {
     const std::string id = "job" + std::to_string(below(m_jobs));
-    m_cell.pry(id, random_key());
+    m_cell.attempt_foreign_access(id, random_key());
 }
 
 // What waits at a bound that has fallen ends once it has risen again.
 void Schedule::lift_bounds()
 {
-    std::vector<emulator::WorkspaceFacts> all = m_cell.workspaces();
-    for (emulator::WorkspaceFacts& facts : all)
+    std::vector<emulator::WorkspaceSetup> all = m_cell.workspaces();
+    for (emulator::WorkspaceSetup& facts : all)
         facts.workspace.bound = {};
     m_cell.configure_workspaces(all);
 }
@@ -513,7 +518,7 @@
     constexpr int tenths = 300;
     if (m_style.rekeyed > 0)
         m_cell.configure_workspaces(first_workspaces());
-    m_cell.disturbed(Millis(3000));
+    m_cell.note_disturbance(Millis(3000));
     m_cell.watch_jobs();
     m_cell.watch_configurations();
     m_cell.world.run_for(Millis(1500));
@@ -545,24 +550,25 @@
         lift_bounds();
     if (ends_with_kill) {
         kill_all();
-        m_cell.disturbed(Millis(3000));
+        m_cell.note_disturbance(Millis(3000));
     }
     m_cell.world.run_for(Millis(45000));
-    return m_cell.verdict();
+    return m_cell.final_violations();
 }
 
 } // namespace
 
-std::vector<std::string> play_schedule(uint64_t seed, int style)
+std::vector<std::string> run_random_schedule(uint64_t seed, int style)
 {
     return Schedule(seed, make_style(style)).run();
 }
 
-void expect_schedules_clean(int style, uint64_t first, uint64_t count)
+void expect_no_violations(int style, uint64_t first, uint64_t count)
 {
     for (uint64_t seed = first; seed < first + count; ++seed) {
-        const auto wrong = play_schedule(seed, style);
-        BOOST_TEST(wrong.empty(), "style " << style << ", seed " << seed << joined(wrong));
+        const auto wrong = run_random_schedule(seed, style);
+        BOOST_TEST(wrong.empty(),
+                   "style " << style << ", seed " << seed << join_lines(wrong));
     }
 }
 
--- a/src/jobs.lib/relay_choice.cpp
+++ b/src/jobs.lib/relay_choice.cpp
@@ -27,43 +27,45 @@
 
 } // namespace
 
-double part_taken(const CallLoad& load, const NodePower& node)
+double utilization(const CallLoad& load, const NodeCapacity& node)
 {
-    const double processor = load.calls / (calls_per_strength * std::max(1, node.strength));
-    const double link = node.link_bytes > 0 ? load.bytes / double(node.link_bytes) : 0;
+    const double processor
+        = load.calls / (calls_per_strength * std::max(1, node.cpu_millicores));
+    const double link
+        = node.link_bytes_per_s > 0 ? load.bytes / double(node.link_bytes_per_s) : 0;
     return std::max(processor, link);
 }
 
-bool should_relay(const CallLoad& load, const NodePower& leader, bool relays)
+bool should_relay(const CallLoad& load, const NodeCapacity& leader, bool relays)
 {
-    return part_taken(load, leader) > (relays ? least_of_leader : most_of_leader);
+    return utilization(load, leader) > (relays ? least_of_leader : most_of_leader);
 }
 
 std::vector<RelayNode> choose_relays(const CallLoad& load, std::vector<RelayNode> nodes)
 {
     std::sort(nodes.begin(), nodes.end(),
               [](const RelayNode& left, const RelayNode& right) {
-                  if (left.power.strength != right.power.strength)
-                      return left.power.strength > right.power.strength;
+                  if (left.capacity.cpu_millicores != right.capacity.cpu_millicores)
+                      return left.capacity.cpu_millicores > right.capacity.cpu_millicores;
                   return left.address < right.address;
               });
     // The load is spread by strength, so each of those taken carries the same part of its
     // processor.
-    NodePower together;
+    NodeCapacity together;
     size_t taken = 0;
     while (taken < nodes.size()) {
-        const NodePower& node = nodes[taken].power;
-        together.strength += node.strength;
-        together.link_bytes += node.link_bytes;
+        const NodeCapacity& node = nodes[taken].capacity;
+        together.cpu_millicores += node.cpu_millicores;
+        together.link_bytes_per_s += node.link_bytes_per_s;
         ++taken;
-        if (taken >= fewest_relays && part_taken(load, together) <= most_of_relay)
+        if (taken >= fewest_relays && utilization(load, together) <= most_of_relay)
             break;
     }
     nodes.resize(taken);
     return nodes;
 }
 
-size_t relay_of(const std::string& worker, const std::vector<RelayNode>& relays)
+size_t relay_index_for(const std::string& worker, const std::vector<RelayNode>& relays)
 {
     size_t best = 0;
     double best_score = 0;
@@ -72,7 +74,8 @@
         constexpr double numbers = 9007199254740992.0; // 2 to the power of 53
         const uint64_t hash = stable_hash(worker + " " + relays[i].address);
         const double drawn = (double(hash >> 11) + 0.5) / numbers;
-        const double score = -std::max(1, relays[i].power.strength) / std::log(drawn);
+        const double score
+            = -std::max(1, relays[i].capacity.cpu_millicores) / std::log(drawn);
         if (i == 0 || score > best_score) {
             best = i;
             best_score = score;
--- a/src/jobs.lib/relay_choice.h
+++ b/src/jobs.lib/relay_choice.h
@@ -14,24 +14,25 @@
 namespace pathport::jobs {
 
 /// What a node can carry.
-struct NodePower {
-    int strength = 0; ///< Processor time that it may use, in thousandths of a core.
-    int64_t link_bytes = 0; ///< That its link moves in a second; 0 for no bound.
+struct NodeCapacity {
+    int cpu_millicores = 0; ///< Processor time that it may use, in thousandths of a core.
+    int64_t link_bytes_per_s = 0; ///< That its link moves in a second; 0 for no bound.
 
-    bool operator==(const NodePower& other) const
+    bool operator==(const NodeCapacity& other) const
     {
-        return strength == other.strength && link_bytes == other.link_bytes;
+        return cpu_millicores == other.cpu_millicores
+            && link_bytes_per_s == other.link_bytes_per_s;
     }
 };
 
 /// A node that may be a relay.
 struct RelayNode {
     std::string address;
-    NodePower power;
+    NodeCapacity capacity;
 
     bool operator==(const RelayNode& other) const
     {
-        return address == other.address && power == other.power;
+        return address == other.address && capacity == other.capacity;
     }
 };
 
@@ -43,12 +44,12 @@
 
 /// Returns the part of a node's processor or link, whichever is larger, that the load takes
 /// of it.
-double part_taken(const CallLoad& load, const NodePower& node);
+double utilization(const CallLoad& load, const NodeCapacity& node);
 
 /// Returns whether a leader should have others make its calls. `relays` tells whether it
 /// does at present: it goes back to making them later than it stops, so that a load about
 /// the bound does not move all workers to and fro.
-bool should_relay(const CallLoad& load, const NodePower& leader, bool relays);
+bool should_relay(const CallLoad& load, const NodeCapacity& leader, bool relays);
 
 /// Returns those of `nodes` that should be relays, by address: the strongest ones, as many
 /// as the load takes with room to spare.
@@ -57,6 +58,6 @@
 /// Returns which of `relays` should make the calls to a worker. Each gets its share of the
 /// workers by strength, and of a change of relays only the share that comes or goes moves:
 /// weighted rendezvous hashing.
-size_t relay_of(const std::string& worker, const std::vector<RelayNode>& relays);
+size_t relay_index_for(const std::string& worker, const std::vector<RelayNode>& relays);
 
 } // namespace pathport::jobs
--- a/src/jobs.lib/relay_choice_test.cpp
+++ b/src/jobs.lib/relay_choice_test.cpp
@@ -33,7 +33,7 @@
 {
     std::map<std::string, int> counts;
     for (int i = 0; i < workers; ++i)
-        ++counts[relays[relay_of("worker" + std::to_string(i), relays)].address];
+        ++counts[relays[relay_index_for("worker" + std::to_string(i), relays)].address];
     return counts;
 }
 
@@ -43,7 +43,7 @@
 // not what binds a small cell's leader, and each that goes through a relay comes later.
 BOOST_AUTO_TEST_CASE(small_cell_needs_no_relays)
 {
-    const NodePower leader { 250, 1000 * megabit };
+    const NodeCapacity leader { 250, 1000 * megabit };
     BOOST_TEST(!should_relay({ 420, 300000 }, leader, false));
     BOOST_TEST(!should_relay({ 840, 600000 }, leader, false));
 }
@@ -51,13 +51,13 @@
 // 1,100 workers, 1,200 starts and 2,400 looks a second on half a core.
 BOOST_AUTO_TEST_CASE(leader_of_a_large_cell_has_others_make_its_calls)
 {
-    const NodePower leader { 500, 200 * megabit };
+    const NodeCapacity leader { 500, 200 * megabit };
     const CallLoad load { 3600, 4300000 };
     BOOST_TEST(should_relay(load, leader, false));
     const auto relays = choose_relays(load, nodes_of(17, 129));
     BOOST_TEST(relays.size() < 17U);
     for (const RelayNode& relay : relays)
-        BOOST_TEST(relay.power.strength == 500);
+        BOOST_TEST(relay.capacity.cpu_millicores == 500);
 }
 
 // The same with nothing but weak nodes: more of them, none far over its part.
@@ -69,14 +69,14 @@
     BOOST_TEST(relays.size() >= 10U);
     for (const auto& [address, count] : counts) {
         const CallLoad part { load.calls * count / 1100, load.bytes * count / 1100 };
-        BOOST_TEST(part_taken(part, { 120, 20 * megabit }) < 0.5);
+        BOOST_TEST(utilization(part, { 120, 20 * megabit }) < 0.5);
     }
 }
 
 // 120 workers, links of 2 Mbit/s: the processor would do, the link does not.
 BOOST_AUTO_TEST_CASE(a_thin_link_needs_relays_whatever_the_processor)
 {
-    const NodePower leader { 500, 2 * megabit };
+    const NodeCapacity leader { 500, 2 * megabit };
     const CallLoad load { 525, 470000 };
     BOOST_TEST(should_relay(load, leader, false));
     std::vector<RelayNode> nodes;
@@ -87,7 +87,7 @@
 
 BOOST_AUTO_TEST_CASE(a_load_about_the_bound_changes_nothing)
 {
-    const NodePower leader { 500, 0 };
+    const NodeCapacity leader { 500, 0 };
     BOOST_TEST(!should_relay({ 2500, 0 }, leader, false));
     BOOST_TEST(should_relay({ 2500, 0 }, leader, true));
     BOOST_TEST(!should_relay({ 1800, 0 }, leader, true));
@@ -110,8 +110,8 @@
     int moved = 0;
     for (int i = 0; i < 1100; ++i) {
         const std::string worker = "worker" + std::to_string(i);
-        const std::string& old = before[relay_of(worker, before)].address;
-        const std::string& now = after[relay_of(worker, after)].address;
+        const std::string& old = before[relay_index_for(worker, before)].address;
+        const std::string& now = after[relay_index_for(worker, after)].address;
         if (old == "s3")
             ++moved;
         else
--- a/src/jobs.lib/relay_fixture.h
+++ b/src/jobs.lib/relay_fixture.h
@@ -24,11 +24,11 @@
 namespace pathport::jobs {
 
 /// Accepts each start and counts them; looks are answered by hand.
-class CountingWorkers : public WorkerClient {
+class CountingWorkerClient : public WorkerClient {
 public:
     std::vector<StartOrder> starts;
     int stops = 0;
-    std::vector<std::function<void(OrderStatus, std::optional<LookReport>)>> looks;
+    std::vector<std::function<void(OrderStatus, std::optional<PollReport>)>> looks;
     bool silent = false;
 
     void start(const WorkerInfo&, const StartOrder& order, Millis,
@@ -44,21 +44,21 @@
         ++stops;
         done({ OrderStatus::accepted, 7 });
     }
-    void pace(const WorkerInfo&, const RunOrder&, Millis,
-              std::function<void(OrderAnswer)>) override
+    void set_speed(const WorkerInfo&, const RunOrder&, Millis,
+                   std::function<void(OrderAnswer)>) override
     {
     }
-    void look(const WorkerInfo&, const LookOrder&, Millis,
-              std::function<void(OrderStatus, std::optional<LookReport>)> done) override
+    void poll(const WorkerInfo&, const PollRequest&, Millis,
+              std::function<void(OrderStatus, std::optional<PollReport>)> done) override
     {
         looks.push_back(std::move(done));
     }
 };
 
 /// Carries messages to the relays that are there.
-class Wire : public PeerClient {
+class FakePeerClient : public PeerClient {
 public:
-    explicit Wire(EventLoop& loop)
+    explicit FakePeerClient(EventLoop& loop)
         : m_loop(loop)
     {
     }
@@ -66,8 +66,8 @@
     std::map<std::string, std::string> payloads; ///< At the acceptor "a".
     std::vector<PeerRequest> sent;
     bool refuses = false;
-    bool swallows = false;
-    bool swallows_next = false; ///< As a silent connection does.
+    bool drops = false;
+    bool drops_next = false; ///< As a silent connection does.
 
     void send(const std::string& address, const PeerRequest& request, Millis timeout,
               PeerReply done) override
@@ -77,8 +77,8 @@
             m_loop.after(Millis(1), [done] { done(PeerEnd::refused, {}); });
             return;
         }
-        if (swallows || swallows_next) {
-            swallows_next = false;
+        if (drops || drops_next) {
+            drops_next = false;
             m_loop.after(timeout, [done] { done(PeerEnd::silent, {}); });
             return;
         }
@@ -103,21 +103,21 @@
 };
 
 /// A leader whose link is so thin that each call goes through the relay "r".
-struct Path {
+struct RelayFixture {
     emulator::World world { 1 };
     emulator::ProcessLoop loop { world };
     emulator::ProcessLoop relay_loop { world };
-    CountingWorkers here; ///< As the leader reaches them itself.
-    CountingWorkers there; ///< As the relay does.
-    Wire wire { loop };
+    CountingWorkerClient direct_client; ///< As the leader reaches them itself.
+    CountingWorkerClient relay_client; ///< As the relay does.
+    FakePeerClient wire { loop };
     PayloadCache payloads { 100000 };
     std::unique_ptr<WorkerRelay> relay;
     RelayedWorkers workers;
     int accepted = 0;
     int unknown = 0;
 
-    Path()
-        : workers(loop, here, wire, NodePower { 1000, 1 }, leader())
+    RelayFixture()
+        : workers(loop, direct_client, wire, NodeCapacity { 1000, 1 }, leader())
     {
         restart("one");
         workers.begin_epoch(5, {}, {});
@@ -128,8 +128,8 @@
             world.run_for(Millis(200));
         }
         BOOST_TEST(workers.relay_count() == 1U);
-        here.starts.clear();
-        there.starts.clear();
+        direct_client.starts.clear();
+        relay_client.starts.clear();
         wire.sent.clear();
         accepted = 0;
         unknown = 0;
@@ -144,7 +144,7 @@
     }
     void restart(const std::string& incarnation)
     {
-        relay = std::make_unique<WorkerRelay>(relay_loop, there, wire, payloads, "r",
+        relay = std::make_unique<WorkerRelay>(relay_loop, relay_client, wire, payloads, "r",
                                               incarnation);
         wire.relays["r"] = relay.get();
     }
@@ -160,7 +160,7 @@
         order.payload = payload;
         order.ticket = "t";
         order.checkpoint = "c";
-        order.hold_until = 1234;
+        order.lease_until = 1234;
         workers.start(worker, order, Millis(200), [this](const OrderAnswer& answer) {
             accepted += answer.status == OrderStatus::accepted ? 1 : 0;
             unknown += answer.status == OrderStatus::unknown ? 1 : 0;
--- a/src/jobs.lib/relayed_calls_codec.cpp
+++ b/src/jobs.lib/relayed_calls_codec.cpp
@@ -15,9 +15,9 @@
 
 using Json = nlohmann::json;
 
-constexpr int last_kind = static_cast<int>(RelayedKind::look);
+constexpr int last_kind = static_cast<int>(RelayedKind::poll);
 constexpr int last_status = static_cast<int>(OrderStatus::unknown);
-constexpr int last_end = static_cast<int>(EndKind::alone);
+constexpr int last_end = static_cast<int>(EndKind::gang_not_formed);
 
 std::string dump(const Json& json)
 {
@@ -50,19 +50,19 @@
     case RelayedKind::start:
         json.insert(json.end(),
                     { call.start.task.to_string(), call.start.run, call.start.fence,
-                      call.start.hold_until, call.start.checkpoint, call.start.ticket,
-                      call.start.payload, call.payload_left_out, call.payload_from });
+                      call.start.lease_until, call.start.checkpoint, call.start.ticket,
+                      call.start.payload, call.payload_omitted, call.payload_source });
         break;
     case RelayedKind::stop:
-    case RelayedKind::pace:
+    case RelayedKind::set_speed:
         json.insert(
             json.end(),
             { call.run.task.to_string(), call.run.run, call.run.fence, call.run.percent });
         break;
-    case RelayedKind::look:
+    case RelayedKind::poll:
         json.insert(json.end(),
-                    { call.look.fence, call.look.seen_through, call.look.hold_until,
-                      call.look.wait.count() });
+                    { call.poll.fence, call.poll.acked_through, call.poll.lease_until,
+                      call.poll.wait.count() });
         break;
     }
     return json;
@@ -81,47 +81,47 @@
         call.start.task = task_of(json.at(5));
         call.start.run = json.at(6).get<int64_t>();
         call.start.fence = json.at(7).get<int64_t>();
-        call.start.hold_until = json.at(8).get<int64_t>();
+        call.start.lease_until = json.at(8).get<int64_t>();
         call.start.checkpoint = json.at(9).get<std::string>();
         call.start.ticket = json.at(10).get<std::string>();
         call.start.payload = json.at(11).get<std::string>();
-        call.payload_left_out = json.at(12).get<bool>();
-        call.payload_from = json.at(13).get<std::string>();
+        call.payload_omitted = json.at(12).get<bool>();
+        call.payload_source = json.at(13).get<std::string>();
         break;
     case RelayedKind::stop:
-    case RelayedKind::pace:
+    case RelayedKind::set_speed:
         call.run.task = task_of(json.at(5));
         call.run.run = json.at(6).get<int64_t>();
         call.run.fence = json.at(7).get<int64_t>();
         call.run.percent = json.at(8).get<int>();
         break;
-    case RelayedKind::look:
-        call.look.fence = json.at(5).get<int64_t>();
-        call.look.seen_through = json.at(6).get<int64_t>();
-        call.look.hold_until = json.at(7).get<int64_t>();
-        call.look.wait = Millis(json.at(8).get<int64_t>());
+    case RelayedKind::poll:
+        call.poll.fence = json.at(5).get<int64_t>();
+        call.poll.acked_through = json.at(6).get<int64_t>();
+        call.poll.lease_until = json.at(7).get<int64_t>();
+        call.poll.wait = Millis(json.at(8).get<int64_t>());
         break;
     }
     return call;
 }
 
-Json encode_report(const LookReport& report)
+Json encode_report(const PollReport& report)
 {
     Json running = Json::array();
     for (const RunningTask& task : report.running)
         running.push_back({ task.task.to_string(), task.run, task.checkpoint, task.percent,
-                            task.figure });
+                            task.metric });
     Json ended = Json::array();
     for (const EndedTask& end : report.ended)
         ended.push_back({ end.number, end.task.to_string(), end.run,
                           static_cast<int>(end.kind), end.checkpoint });
     return Json::array(
-        { report.clock_ms, std::move(running), std::move(ended), report.running_left_out });
+        { report.clock_ms, std::move(running), std::move(ended), report.running_omitted });
 }
 
-LookReport decode_report(const Json& json)
+PollReport decode_report(const Json& json)
 {
-    LookReport report;
+    PollReport report;
     report.clock_ms = json.at(0).get<int64_t>();
     for (const Json& row : json.at(1)) {
         RunningTask task;
@@ -129,7 +129,7 @@
         task.run = row.at(1).get<int64_t>();
         task.checkpoint = row.at(2).get<std::string>();
         task.percent = row.at(3).get<int>();
-        task.figure = row.at(4).get<double>();
+        task.metric = row.at(4).get<double>();
         report.running.push_back(std::move(task));
     }
     for (const Json& row : json.at(2)) {
@@ -141,7 +141,7 @@
         end.checkpoint = row.at(4).get<std::string>();
         report.ended.push_back(std::move(end));
     }
-    report.running_left_out = json.at(3).get<bool>();
+    report.running_omitted = json.at(3).get<bool>();
     return report;
 }
 
--- a/src/jobs.lib/relayed_directory.cpp
+++ b/src/jobs.lib/relayed_directory.cpp
@@ -26,10 +26,10 @@
     : m_loop(loop)
     , m_direct(direct)
     , m_peers(peers)
-    , m_message(std::move(message))
+    , m_message_template(std::move(message))
     , m_reader(std::move(reader))
 {
-    m_message.topic = PeerTopic::worker_list;
+    m_message_template.topic = PeerTopic::worker_list;
 }
 
 void RelayedDirectory::read_workers(
@@ -40,16 +40,16 @@
         m_direct.read_workers(timeout, std::move(done));
         return;
     }
-    PeerRequest request = m_message;
-    request.version = reader == m_list_from ? m_list_number : 0;
+    PeerRequest request = m_message_template;
+    request.version = reader == m_list_source ? m_list_version : 0;
     m_peers.send(reader, request, timeout + reader_margin,
                  m_lifetime.wrap([this, reader, timeout, done = std::move(done)](
                                      PeerEnd end, const PeerAnswer& answer) {
-                     changes_came(reader, end, answer, timeout, done);
+                     changes_received(reader, end, answer, timeout, done);
                  }));
 }
 
-void RelayedDirectory::changes_came(
+void RelayedDirectory::changes_received(
     const std::string& reader, PeerEnd end, const PeerAnswer& answer, Millis timeout,
     const std::function<void(DirectoryAnswer<std::vector<WorkerInfo>>)>& done)
 {
@@ -57,18 +57,18 @@
         ? decode_worker_list_changes(answer.row)
         : std::nullopt;
     // Changes build on those that this node has, or are the whole list.
-    const bool fits = changes && (changes->whole || reader == m_list_from);
+    const bool fits = changes && (changes->full || reader == m_list_source);
     if (!fits) {
         log_event(LogLevel::warn, "worker_list_not_told",
                   { { "reader", reader },
                     { "answered", end == PeerEnd::answered ? "yes" : "no" } });
         m_avoid_until = m_loop.now() + reader_pause;
-        m_list_number = 0;
+        m_list_version = 0;
         m_direct.read_workers(timeout, done);
         return;
     }
-    m_list_from = reader;
-    m_list_number = answer.count;
+    m_list_source = reader;
+    m_list_version = answer.count;
     apply(*changes, m_list);
     DirectoryAnswer<std::vector<WorkerInfo>> whole;
     whole.status = StoreStatus::ok;
@@ -93,7 +93,7 @@
 
 WorkerListReader::WorkerListReader(EventLoop& loop, Directory& directory)
     : m_directory(directory)
-    , m_number(static_cast<int64_t>(loop.random() % first_number_bound))
+    , m_version(static_cast<int64_t>(loop.random() % first_number_bound))
 {
 }
 
@@ -104,13 +104,13 @@
         page_timeout,
         m_lifetime.wrap([this, request, answer = std::move(answer), done = std::move(done)](
                             const DirectoryAnswer<std::vector<WorkerInfo>>& read) {
-            list_read(request, answer, read, done);
+            list_received(request, answer, read, done);
         }));
 }
 
-void WorkerListReader::list_read(const PeerRequest& request, PeerAnswer answer,
-                                 const DirectoryAnswer<std::vector<WorkerInfo>>& read,
-                                 const PeerResponder& done)
+void WorkerListReader::list_received(const PeerRequest& request, PeerAnswer answer,
+                                     const DirectoryAnswer<std::vector<WorkerInfo>>& read,
+                                     const PeerResponder& done)
 {
     answer.served = read.status == StoreStatus::ok && read.value.has_value();
     if (!answer.served) {
@@ -120,14 +120,15 @@
     WorkersById now;
     for (const WorkerInfo& worker : *read.value)
         now[worker.id] = worker;
-    const bool builds_on = request.version != 0 && request.version == m_number
+    const bool builds_on = request.version != 0 && request.version == m_version
         && request.incarnation == m_leader;
-    WorkerListChanges changes = changes_between(builds_on ? m_told : WorkersById(), now);
-    changes.whole = !builds_on;
+    WorkerListChanges changes
+        = changes_between(builds_on ? m_last_sent : WorkersById(), now);
+    changes.full = !builds_on;
     m_leader = request.incarnation;
-    m_told = std::move(now);
-    ++m_number;
-    answer.count = m_number;
+    m_last_sent = std::move(now);
+    ++m_version;
+    answer.count = m_version;
     answer.row = encode(changes);
     done(std::move(answer));
 }
--- a/src/jobs.lib/relayed_directory.h
+++ b/src/jobs.lib/relayed_directory.h
@@ -41,18 +41,17 @@
                         std::function<void(DirectoryAnswer<Configuration>)> done) override;
 
 private:
-    void
-    changes_came(const std::string& reader, PeerEnd end, const PeerAnswer& answer,
-                 Millis timeout,
-                 const std::function<void(DirectoryAnswer<std::vector<WorkerInfo>>)>& done);
+    void changes_received(
+        const std::string& reader, PeerEnd end, const PeerAnswer& answer, Millis timeout,
+        const std::function<void(DirectoryAnswer<std::vector<WorkerInfo>>)>& done);
 
     EventLoop& m_loop;
     Directory& m_direct;
     PeerClient& m_peers;
-    PeerRequest m_message;
+    PeerRequest m_message_template;
     std::function<std::string()> m_reader;
-    std::string m_list_from; ///< The node whose changes `m_list` has taken in.
-    int64_t m_list_number = 0; ///< Of the last of them; 0 when there are none.
+    std::string m_list_source; ///< The node whose changes `m_list` has taken in.
+    int64_t m_list_version = 0; ///< Of the last of them; 0 when there are none.
     WorkersById m_list;
     Millis m_avoid_until; ///< The list is read from here until then.
     Lifetime m_lifetime;
@@ -69,14 +68,14 @@
     void handle(const PeerRequest& request, PeerAnswer answer, PeerResponder done);
 
 private:
-    void list_read(const PeerRequest& request, PeerAnswer answer,
-                   const DirectoryAnswer<std::vector<WorkerInfo>>& read,
-                   const PeerResponder& done);
+    void list_received(const PeerRequest& request, PeerAnswer answer,
+                       const DirectoryAnswer<std::vector<WorkerInfo>>& read,
+                       const PeerResponder& done);
 
     Directory& m_directory;
     std::string m_leader; ///< The process that was told last.
-    int64_t m_number; ///< Of what it was told; begins at a random number.
-    WorkersById m_told;
+    int64_t m_version; ///< Of what it was told; begins at a random number.
+    WorkersById m_last_sent;
     Lifetime m_lifetime;
 };
 
