--- a/src/jobs.lib/relayed_workers.cpp
+++ b/src/jobs.lib/relayed_workers.cpp
@@ -56,32 +56,32 @@
 } // namespace
 
 RelayedWorkers::RelayedWorkers(EventLoop& loop, WorkerClient& direct, PeerClient& peers,
-                               NodePower own, PeerRequest identity)
+                               NodeCapacity own, PeerRequest identity)
     : m_loop(loop)
     , m_direct(direct)
     , m_peers(peers)
-    , m_own(own)
-    , m_message(std::move(identity))
+    , m_own_capacity(own)
+    , m_message_template(std::move(identity))
     , m_lag(relay_margin, longest_margin)
 {
-    m_message.topic = PeerTopic::worker_calls;
+    m_message_template.topic = PeerTopic::worker_calls;
     // There are hundreds of messages a second, and a relay needs no more.
-    m_message.address.clear();
-    m_message.strength = 0;
-    m_message.link_bytes = 0;
+    m_message_template.address.clear();
+    m_message_template.cpu_millicores = 0;
+    m_message_template.link_bytes_per_s = 0;
 }
 
 void RelayedWorkers::begin_epoch(int64_t epoch, const CallLoad& expected,
                                  const std::vector<std::string>& peers)
 {
     end_epoch();
-    m_message.epoch = epoch;
+    m_message_template.epoch = epoch;
     m_leads = true;
     m_load = expected;
-    m_weighed = m_loop.now();
+    m_load_updated_at = m_loop.now();
     std::vector<RelayNode> nodes;
     for (const std::string& peer : peers)
-        nodes.push_back({ peer, m_own });
+        nodes.push_back({ peer, m_own_capacity });
     set_nodes(std::move(nodes));
     sweep();
 }
@@ -93,12 +93,12 @@
     m_nodes.clear();
     m_relays.clear();
     m_routes.clear();
-    m_links.clear();
+    m_relay_states.clear();
     m_pending.clear();
-    m_given_up.clear();
+    m_expired.clear();
     m_lag = AnswerLag(relay_margin, longest_margin);
     m_load = CallLoad();
-    m_counted = CallLoad();
+    m_recent_load = CallLoad();
 }
 
 void RelayedWorkers::set_nodes(std::vector<RelayNode> nodes)
@@ -106,7 +106,7 @@
     if (nodes == m_nodes)
         return;
     m_nodes = std::move(nodes);
-    weigh_load();
+    update_relays();
 }
 
 void RelayedWorkers::note_acceptor(const std::string& job, const std::string& address)
@@ -141,23 +141,24 @@
     submit(worker, std::move(call), order_bytes, order_done(std::move(done)));
 }
 
-void RelayedWorkers::pace(const WorkerInfo& worker, const RunOrder& order, Millis timeout,
-                          std::function<void(OrderAnswer)> done)
+void RelayedWorkers::set_speed(const WorkerInfo& worker, const RunOrder& order,
+                               Millis timeout, std::function<void(OrderAnswer)> done)
 {
     RelayedCall call;
-    call.kind = RelayedKind::pace;
+    call.kind = RelayedKind::set_speed;
     call.timeout = timeout;
     call.run = order;
     submit(worker, std::move(call), order_bytes, order_done(std::move(done)));
 }
 
-void RelayedWorkers::look(const WorkerInfo& worker, const LookOrder& order, Millis timeout,
-                          std::function<void(OrderStatus, std::optional<LookReport>)> done)
+void RelayedWorkers::poll(const WorkerInfo& worker, const PollRequest& order,
+                          Millis timeout,
+                          std::function<void(OrderStatus, std::optional<PollReport>)> done)
 {
     RelayedCall call;
-    call.kind = RelayedKind::look;
+    call.kind = RelayedKind::poll;
     call.timeout = timeout;
-    call.look = order;
+    call.poll = order;
     submit(worker, std::move(call), look_bytes,
            [done = std::move(done)](const RelayedAnswer& answer) {
                done(answer.status, answer.report);
@@ -169,22 +170,22 @@
 {
     call.worker = worker.id;
     call.address = worker.address;
-    ++m_counted.calls;
-    m_counted.bytes += bytes;
+    ++m_recent_load.calls;
+    m_recent_load.bytes += bytes;
     const RelayNode* relay = route(worker.id);
     if (relay == nullptr) {
-        make_directly(call, std::move(done));
+        call_directly(call, std::move(done));
         return;
     }
     call.number = ++m_last_number;
     const Millis now = m_loop.now();
     const Millis own_end = now + call.timeout;
-    leave_out_payload(call);
-    give(relay->address,
-         { std::move(call), std::move(done), relay->address, now, own_end });
+    omit_payload(call);
+    enqueue(relay->address,
+            { std::move(call), std::move(done), relay->address, now, own_end });
 }
 
-void RelayedWorkers::make_directly(const RelayedCall& call, Done done)
+void RelayedWorkers::call_directly(const RelayedCall& call, Done done)
 {
     WorkerInfo worker;
     worker.id = call.worker;
@@ -202,12 +203,12 @@
     case RelayedKind::stop:
         m_direct.stop(worker, call.run, call.timeout, answered);
         break;
-    case RelayedKind::pace:
-        m_direct.pace(worker, call.run, call.timeout, answered);
+    case RelayedKind::set_speed:
+        m_direct.set_speed(worker, call.run, call.timeout, answered);
         break;
-    case RelayedKind::look:
-        m_direct.look(worker, call.look, call.timeout,
-                      [done](OrderStatus status, std::optional<LookReport> report) {
+    case RelayedKind::poll:
+        m_direct.poll(worker, call.poll, call.timeout,
+                      [done](OrderStatus status, std::optional<PollReport> report) {
                           RelayedAnswer own;
                           own.status = status;
                           own.report = std::move(report);
@@ -220,17 +221,17 @@
 // The load of the last interval and the smoothed one of those before it count alike. Which
 // nodes are relays changes only when those there are do not suffice or are not there any
 // more, since each change moves workers.
-void RelayedWorkers::weigh_load()
+void RelayedWorkers::update_relays()
 {
-    const double seconds = double((m_loop.now() - m_weighed).count()) / 1000;
+    const double seconds = double((m_loop.now() - m_load_updated_at).count()) / 1000;
     if (seconds > 0) {
-        m_load.calls = (m_load.calls + m_counted.calls / seconds) / 2;
-        m_load.bytes = (m_load.bytes + m_counted.bytes / seconds) / 2;
-        m_counted = CallLoad();
-        m_weighed = m_loop.now();
+        m_load.calls = (m_load.calls + m_recent_load.calls / seconds) / 2;
+        m_load.bytes = (m_load.bytes + m_recent_load.bytes / seconds) / 2;
+        m_recent_load = CallLoad();
+        m_load_updated_at = m_loop.now();
     }
     std::vector<RelayNode> chosen;
-    if (m_leads && should_relay(m_load, m_own, !m_relays.empty()))
+    if (m_leads && should_relay(m_load, m_own_capacity, !m_relays.empty()))
         chosen = choose_relays(m_load, m_nodes);
     const bool all_there
         = std::all_of(m_relays.begin(), m_relays.end(), [this](const RelayNode& relay) {
@@ -240,7 +241,7 @@
     if (chosen == m_relays || suffices)
         return;
     log_event(LogLevel::info, "worker_relays",
-              { { "epoch", m_message.epoch },
+              { { "epoch", m_message_template.epoch },
                 { "before", static_cast<int64_t>(m_relays.size()) },
                 { "relays", static_cast<int64_t>(chosen.size()) },
                 { "nodes", static_cast<int64_t>(m_nodes.size()) },
@@ -252,7 +253,7 @@
 
 bool RelayedWorkers::usable(const RelayNode& node)
 {
-    return m_links[node.address].avoid_until <= m_loop.now();
+    return m_relay_states[node.address].avoid_until <= m_loop.now();
 }
 
 std::string RelayedWorkers::first_relay()
@@ -273,7 +274,7 @@
         return nullptr;
     const auto [known, added] = m_routes.try_emplace(worker, 0);
     if (added)
-        known->second = relay_of(worker, m_relays);
+        known->second = relay_index_for(worker, m_relays);
     const RelayNode& usual = m_relays[known->second];
     if (usable(usual))
         return &usual;
@@ -282,29 +283,29 @@
                  [this](const RelayNode& node) { return usable(node); });
     if (others.empty())
         return &usual;
-    const std::string& address = others[relay_of(worker, others)].address;
+    const std::string& address = others[relay_index_for(worker, others)].address;
     return &*std::find_if(m_nodes.begin(), m_nodes.end(),
                           [&](const RelayNode& node) { return node.address == address; });
 }
 
-void RelayedWorkers::leave_out_payload(RelayedCall& call) const
+void RelayedWorkers::omit_payload(RelayedCall& call) const
 {
     if (call.kind != RelayedKind::start || call.start.payload.empty())
         return;
     const auto acceptor = m_acceptors.find(call.start.task.job);
     if (acceptor == m_acceptors.end())
         return;
-    call.payload_left_out = true;
-    call.payload_from = acceptor->second;
+    call.payload_omitted = true;
+    call.payload_source = acceptor->second;
 }
 
-void RelayedWorkers::give(const std::string& address, Pending pending)
+void RelayedWorkers::enqueue(const std::string& address, PendingCall pending)
 {
-    Relay& relay = m_links[address];
-    ++relay.pending;
+    Relay& relay = m_relay_states[address];
+    ++relay.pending_calls;
     relay.queued.push_back(pending.call.number);
     const bool waits
-        = pending.call.kind == RelayedKind::look && pending.call.look.wait > Millis(0);
+        = pending.call.kind == RelayedKind::poll && pending.call.poll.wait > Millis(0);
     const Millis delay = waits ? look_delay : order_delay;
     const Millis at = m_loop.now() + delay;
     m_pending.emplace(pending.call.number, std::move(pending));
@@ -313,7 +314,7 @@
     relay.batch_due = true;
     relay.batch_at = at;
     m_loop.after(delay, m_epoch_lifetime.wrap([this, address, at] {
-        const Relay& due = m_links[address];
+        const Relay& due = m_relay_states[address];
         if (due.batch_due && due.batch_at == at)
             send_batch(address);
     }));
@@ -322,7 +323,7 @@
 // One message is open at a relay while it has calls of ours, for it to answer.
 void RelayedWorkers::send_batch(const std::string& address)
 {
-    Relay& relay = m_links[address];
+    Relay& relay = m_relay_states[address];
     relay.batch_due = false;
     Message message;
     std::vector<RelayedCall> calls;
@@ -332,19 +333,19 @@
             continue; // Its time was over.
         message.calls.push_back(number);
         calls.push_back(found->second.call);
-        if (found->second.call.payload_left_out)
+        if (found->second.call.payload_omitted)
             calls.back().start.payload.clear();
     }
     relay.queued.clear();
-    if (calls.empty() && (!relay.open.empty() || relay.pending == 0))
+    if (calls.empty() && (!relay.open_messages.empty() || relay.pending_calls == 0))
         return;
-    PeerRequest request = m_message;
+    PeerRequest request = m_message_template;
     if (!calls.empty())
         request.calls = encode(calls);
     message.number = ++m_last_message;
     message.sent = m_loop.now();
-    relay.open.insert(message.number);
-    m_peers.send(address, request, relay_hold + relay_timeout,
+    relay.open_messages.insert(message.number);
+    m_peers.send(address, request, relay_poll_wait + relay_timeout,
                  m_epoch_lifetime.wrap(
                      [this, address, message](PeerEnd end, const PeerAnswer& answer) {
                          batch_answered(address, message, end, answer);
@@ -354,33 +355,34 @@
 void RelayedWorkers::batch_answered(const std::string& address, const Message& message,
                                     PeerEnd end, const PeerAnswer& answer)
 {
-    Relay& relay = m_links[address];
-    relay.open.erase(message.number);
+    Relay& relay = m_relay_states[address];
+    relay.open_messages.erase(message.number);
     if (end == PeerEnd::refused || (end == PeerEnd::answered && !answer.served)) {
-        relay_lost(address, message.calls,
-                   end == PeerEnd::refused ? "refused" : "declined");
+        handle_lost_relay(address, message.calls,
+                          end == PeerEnd::refused ? "refused" : "declined");
         return;
     }
     if (end == PeerEnd::silent) {
         message_unanswered(address, message);
         return;
     }
-    relay.heard = m_loop.now();
+    relay.last_heard = m_loop.now();
     // A relay gives the earlier message back when the next one comes, so those that were
     // sent before this one are under way or lost.
-    relay.open.erase(relay.open.begin(), relay.open.upper_bound(message.number));
+    relay.open_messages.erase(relay.open_messages.begin(),
+                              relay.open_messages.upper_bound(message.number));
     if (!relay.incarnation.empty() && relay.incarnation != answer.incarnation)
-        relay_lost(address, {}, "another_process");
+        handle_lost_relay(address, {}, "another_process");
     relay.incarnation = answer.incarnation;
     const auto answers = answer.calls.empty() ? std::vector<RelayedAnswer>()
                                               : decode_relayed_answers(answer.calls);
     if (!answers) {
-        relay_lost(address, {}, "malformed");
+        handle_lost_relay(address, {}, "malformed");
         return;
     }
     const auto alive = m_epoch_lifetime.observe();
     for (const RelayedAnswer& one : *answers) {
-        take_answer(one);
+        handle_answer(one);
         if (alive.expired())
             return;
     }
@@ -393,63 +395,65 @@
 // calls at the relay and its use for two seconds (relayed_workers_test).
 void RelayedWorkers::message_unanswered(const std::string& address, const Message& message)
 {
-    if (m_links[address].heard <= message.sent) {
-        relay_lost(address, {}, "silent");
+    if (m_relay_states[address].last_heard <= message.sent) {
+        handle_lost_relay(address, {}, "silent");
         return;
     }
     log_event(LogLevel::info, "relay_message_lost",
               { { "relay", address },
                 { "calls", static_cast<int64_t>(message.calls.size()) },
-                { "heard_ms_ago", (m_loop.now() - m_links[address].heard).count() } });
+                { "heard_ms_ago",
+                  (m_loop.now() - m_relay_states[address].last_heard).count() } });
     keep_message_open(address);
 }
 
 void RelayedWorkers::keep_message_open(const std::string& address)
 {
-    const Relay& relay = m_links[address];
-    if (relay.open.empty() && relay.pending > 0 && !relay.batch_due)
+    const Relay& relay = m_relay_states[address];
+    if (relay.open_messages.empty() && relay.pending_calls > 0 && !relay.batch_due)
         send_batch(address);
 }
 
-std::optional<RelayedWorkers::Pending> RelayedWorkers::take_pending(int64_t number)
+std::optional<RelayedWorkers::PendingCall> RelayedWorkers::remove_pending(int64_t number)
 {
     const auto found = m_pending.find(number);
     if (found == m_pending.end())
         return std::nullopt;
-    Pending pending = std::move(found->second);
+    PendingCall pending = std::move(found->second);
     m_pending.erase(found);
-    Relay& relay = m_links[pending.relay];
-    relay.pending -= relay.pending > 0 ? 1 : 0;
+    Relay& relay = m_relay_states[pending.relay];
+    relay.pending_calls -= relay.pending_calls > 0 ? 1 : 0;
     return pending;
 }
 
-void RelayedWorkers::take_answer(const RelayedAnswer& answer)
+void RelayedWorkers::handle_answer(const RelayedAnswer& answer)
 {
     const Millis now = m_loop.now();
-    auto pending = take_pending(answer.number);
+    auto pending = remove_pending(answer.number);
     if (!pending) {
-        const auto given_up = m_given_up.find(answer.number);
-        if (given_up == m_given_up.end())
+        const auto given_up = m_expired.find(answer.number);
+        if (given_up == m_expired.end())
             return; // Its relay was taken for lost.
-        ++m_answers.late;
-        m_lag.note(now - given_up->second, now);
-        m_given_up.erase(given_up);
+        ++m_answer_counts.late;
+        m_lag.add_sample(now - given_up->second, now);
+        m_expired.erase(given_up);
         return;
     }
-    ++m_answers.in_time;
-    m_lag.note(now - pending->own_end, now);
+    ++m_answer_counts.in_time;
+    m_lag.add_sample(now - pending->deadline, now);
     if (answer.payload_missing)
-        make_directly(pending->call, std::move(pending->done));
+        call_directly(pending->call, std::move(pending->done));
     else
         pending->done(answer);
 }
 
 // What was surely not sent is made from here. All else that the relay had may have been
 // done, or may be done yet.
-void RelayedWorkers::relay_lost(const std::string& address,
-                                const std::vector<int64_t>& unsent, const char* reason)
+void RelayedWorkers::handle_lost_relay(const std::string& address,
+                                       const std::vector<int64_t>& unsent,
+                                       const char* reason)
 {
-    Relay& relay = m_links[address];
+    Relay& relay = m_relay_states[address];
     relay.avoid_until = m_loop.now() + lost_pause;
     relay.incarnation.clear();
     std::vector<int64_t> not_sent = unsent;
@@ -468,17 +472,17 @@
                 { "in_doubt", static_cast<int64_t>(in_doubt.size()) } });
     const auto alive = m_epoch_lifetime.observe();
     for (const int64_t number : not_sent) {
-        auto pending = take_pending(number);
+        auto pending = remove_pending(number);
         const RelayNode* other = pending ? route(pending->call.worker) : nullptr;
         if (other != nullptr && other->address != address) {
             pending->relay = other->address;
-            give(other->address, std::move(*pending));
+            enqueue(other->address, std::move(*pending));
         } else if (pending) {
-            make_directly(pending->call, std::move(pending->done));
+            call_directly(pending->call, std::move(pending->done));
         }
     }
     for (const int64_t number : in_doubt) {
-        auto pending = take_pending(number);
+        auto pending = remove_pending(number);
         if (pending)
             pending->done(RelayedAnswer());
         if (alive.expired())
@@ -488,10 +492,10 @@
 
 // Returns whether other relays have answered since a call was given to its own. If not, it
 // is this node that hears nobody.
-bool RelayedWorkers::others_heard(const Pending& pending) const
+bool RelayedWorkers::other_relays_answered(const PendingCall& pending) const
 {
-    return std::any_of(m_links.begin(), m_links.end(), [&](const auto& link) {
-        return link.first != pending.relay && link.second.heard > pending.since;
+    return std::any_of(m_relay_states.begin(), m_relay_states.end(), [&](const auto& link) {
+        return link.first != pending.relay && link.second.last_heard > pending.submitted_at;
     });
 }
 
@@ -503,67 +507,67 @@
         return;
     m_loop.after(sweep_interval, m_epoch_lifetime.wrap([this] { sweep(); }));
     const Millis now = m_loop.now();
-    if (now - m_weighed >= weigh_interval)
-        weigh_load();
+    if (now - m_load_updated_at >= weigh_interval)
+        update_relays();
     const Millis margin = m_lag.margin();
     std::vector<int64_t> overdue;
     std::vector<std::string> silent;
     for (const auto& [number, pending] : m_pending) {
-        if (now < pending.own_end + margin)
+        if (now < pending.deadline + margin)
             continue;
         overdue.push_back(number);
-        const bool unheard = m_links[pending.relay].heard < pending.since
-            && now - pending.since > unheard_time && others_heard(pending);
+        const bool unheard = m_relay_states[pending.relay].last_heard < pending.submitted_at
+            && now - pending.submitted_at > unheard_time && other_relays_answered(pending);
         if (unheard
             && std::find(silent.begin(), silent.end(), pending.relay) == silent.end())
             silent.push_back(pending.relay);
     }
-    m_answers.missing += static_cast<int64_t>(overdue.size());
-    tell_answers();
+    m_answer_counts.missing += static_cast<int64_t>(overdue.size());
+    log_answer_counts();
     const auto alive = m_epoch_lifetime.observe();
     for (const std::string& relay : silent) {
-        relay_lost(relay, {}, "no_answers");
+        handle_lost_relay(relay, {}, "no_answers");
         if (alive.expired())
             return;
     }
     for (const int64_t number : overdue) {
-        give_up(number);
+        expire_call(number);
         if (alive.expired())
             return;
     }
-    forget_given_up(now);
+    forget_expired(now);
 }
 
-void RelayedWorkers::give_up(int64_t number)
+void RelayedWorkers::expire_call(int64_t number)
 {
-    auto pending = take_pending(number);
+    auto pending = remove_pending(number);
     if (!pending)
         return;
-    m_given_up[number] = pending->own_end;
+    m_expired[number] = pending->deadline;
     pending->done(RelayedAnswer());
 }
 
-void RelayedWorkers::forget_given_up(Millis now)
+void RelayedWorkers::forget_expired(Millis now)
 {
-    while (!m_given_up.empty()
-           && now - m_given_up.begin()->second > longest_margin + longest_margin)
-        m_given_up.erase(m_given_up.begin());
+    while (!m_expired.empty()
+           && now - m_expired.begin()->second > longest_margin + longest_margin)
+        m_expired.erase(m_expired.begin());
 }
 
 // Answers that came late tell that this node or a relay is slow; ones that are missing and
 // never come were lost.
-void RelayedWorkers::tell_answers()
+void RelayedWorkers::log_answer_counts()
 {
-    if (m_loop.now() - m_answers_told < answers_interval)
+    if (m_loop.now() - m_answers_logged_at < answers_interval)
         return;
-    m_answers_told = m_loop.now();
-    if (m_answers.late + m_answers.missing > 0)
+    m_answers_logged_at = m_loop.now();
+    if (m_answer_counts.late + m_answer_counts.missing > 0)
         log_event(LogLevel::info, "relayed_answers",
-                  { { "epoch", m_message.epoch },
-                    { "in_time", m_answers.in_time },
-                    { "late", m_answers.late },
-                    { "missing", m_answers.missing } });
-    m_answers = AnswerCounts();
+                  { { "epoch", m_message_template.epoch },
+                    { "in_time", m_answer_counts.in_time },
+                    { "late", m_answer_counts.late },
+                    { "missing", m_answer_counts.missing } });
+    m_answer_counts = AnswerCounts();
 }
 
 } // namespace pathport::jobs
--- a/src/jobs.lib/relayed_workers.h
+++ b/src/jobs.lib/relayed_workers.h
@@ -33,8 +33,8 @@
 class RelayedWorkers : public WorkerClient {
 public:
     /// `own` is what this node can carry, `identity` its fields of a message.
-    RelayedWorkers(EventLoop& loop, WorkerClient& direct, PeerClient& peers, NodePower own,
-                   PeerRequest identity);
+    RelayedWorkers(EventLoop& loop, WorkerClient& direct, PeerClient& peers,
+                   NodeCapacity own, PeerRequest identity);
 
     /// Begins an epoch in which this node leads. `expected` is what the last leader's calls
     /// took, and `peers` are the nodes that it knew: a take-over looks at all workers at
@@ -58,31 +58,32 @@
                std::function<void(OrderAnswer)> done) override;
     void stop(const WorkerInfo& worker, const RunOrder& order, Millis timeout,
               std::function<void(OrderAnswer)> done) override;
-    void pace(const WorkerInfo& worker, const RunOrder& order, Millis timeout,
-              std::function<void(OrderAnswer)> done) override;
-    void look(const WorkerInfo& worker, const LookOrder& order, Millis timeout,
-              std::function<void(OrderStatus, std::optional<LookReport>)> done) override;
+    void set_speed(const WorkerInfo& worker, const RunOrder& order, Millis timeout,
+                   std::function<void(OrderAnswer)> done) override;
+    void poll(const WorkerInfo& worker, const PollRequest& order, Millis timeout,
+              std::function<void(OrderStatus, std::optional<PollReport>)> done) override;
 
 private:
     using Done = std::function<void(RelayedAnswer)>;
 
     /// A call that a relay was given, or will be.
-    struct Pending {
+    struct PendingCall {
         RelayedCall call;
         Done done;
         std::string relay;
-        Millis since;
-        Millis own_end; ///< The time that it may take is over then.
+        Millis submitted_at;
+        Millis deadline; ///< The time that it may take is over then.
     };
     /// The connection with a relay.
     struct Relay {
         std::vector<int64_t> queued; ///< Calls that wait for the next batch.
         Millis batch_at; ///< When the next batch is due, if any is.
         bool batch_due = false;
-        std::set<int64_t> open; ///< Messages that may be answered yet, in their order.
-        size_t pending = 0; ///< Calls, queued or under way.
+        std::set<int64_t>
+            open_messages; ///< Messages that may be answered yet, in their order.
+        size_t pending_calls = 0; ///< Calls, queued or under way.
         std::string incarnation; ///< Of the process that answered last.
-        Millis heard;
+        Millis last_heard;
         Millis avoid_until;
     };
 
@@ -101,52 +102,52 @@
     };
 
     void submit(const WorkerInfo& worker, RelayedCall call, double bytes, Done done);
-    void make_directly(const RelayedCall& call, Done done);
+    void call_directly(const RelayedCall& call, Done done);
     void note_load(double bytes);
-    void weigh_load();
+    void update_relays();
     const RelayNode* route(const std::string& worker);
     bool usable(const RelayNode& node);
-    void give(const std::string& relay, Pending pending);
-    void leave_out_payload(RelayedCall& call) const;
+    void enqueue(const std::string& relay, PendingCall pending);
+    void omit_payload(RelayedCall& call) const;
     void send_batch(const std::string& address);
     void batch_answered(const std::string& address, const Message& message, PeerEnd end,
                         const PeerAnswer& answer);
     void message_unanswered(const std::string& address, const Message& message);
     void keep_message_open(const std::string& address);
-    void relay_lost(const std::string& address, const std::vector<int64_t>& unsent,
-                    const char* reason);
-    void take_answer(const RelayedAnswer& answer);
-    std::optional<Pending> take_pending(int64_t number);
-    void give_up(int64_t number);
-    void forget_given_up(Millis now);
-    void tell_answers();
-    bool others_heard(const Pending& pending) const;
+    void handle_lost_relay(const std::string& address, const std::vector<int64_t>& unsent,
+                           const char* reason);
+    void handle_answer(const RelayedAnswer& answer);
+    std::optional<PendingCall> remove_pending(int64_t number);
+    void expire_call(int64_t number);
+    void forget_expired(Millis now);
+    void log_answer_counts();
+    bool other_relays_answered(const PendingCall& pending) const;
     void sweep();
 
     EventLoop& m_loop;
     WorkerClient& m_direct;
     PeerClient& m_peers;
-    NodePower m_own;
-    PeerRequest m_message; ///< With the fields that all messages have.
+    NodeCapacity m_own_capacity;
+    PeerRequest m_message_template; ///< With the fields that all messages have.
     bool m_leads = false;
     std::vector<RelayNode> m_nodes;
     std::vector<RelayNode> m_relays; ///< Empty while this node makes the calls.
     std::unordered_map<std::string, size_t> m_routes; ///< By worker, into `m_relays`.
-    std::map<std::string, Relay> m_links; ///< By address.
-    std::map<int64_t, Pending> m_pending; ///< By number.
+    std::map<std::string, Relay> m_relay_states; ///< By address.
+    std::map<int64_t, PendingCall> m_pending; ///< By number.
     int64_t m_last_number = 0;
     int64_t m_last_message = 0;
     std::unordered_map<std::string, std::string> m_acceptors; ///< By job.
     std::deque<std::string> m_acceptor_order; ///< Jobs, the oldest first.
     CallLoad m_load; ///< Smoothed.
-    CallLoad m_counted; ///< Since the load was weighed.
-    Millis m_weighed;
+    CallLoad m_recent_load; ///< Since the load was weighed.
+    Millis m_load_updated_at;
     AnswerLag m_lag;
     /// Calls that were given up and may be answered yet, by number: when their time was
     /// over.
-    std::map<int64_t, Millis> m_given_up;
-    AnswerCounts m_answers; ///< Since they were told of.
-    Millis m_answers_told;
+    std::map<int64_t, Millis> m_expired;
+    AnswerCounts m_answer_counts; ///< Since they were told of.
+    Millis m_answers_logged_at;
     Lifetime m_lifetime;
     Lifetime m_epoch_lifetime; ///< Of what was sent in the present epoch.
 };
--- a/src/jobs.lib/relayed_workers_test.cpp
+++ b/src/jobs.lib/relayed_workers_test.cpp
@@ -19,28 +19,28 @@
 
 namespace {
 
-struct QuietLog {
-    QuietLog() { start_log("test", LogLevel::error); }
+struct LogFixture {
+    LogFixture() { start_log("test", LogLevel::error); }
 };
 
 } // namespace
 
-BOOST_TEST_GLOBAL_FIXTURE(QuietLog);
+BOOST_TEST_GLOBAL_FIXTURE(LogFixture);
 
 BOOST_AUTO_TEST_CASE(orders_arrive_whole_and_share_a_message)
 {
-    Path path;
+    RelayFixture path;
     for (int i = 0; i < 20; ++i)
         path.start("job" + std::to_string(i), "payload");
     path.world.run_for(Millis(300));
     BOOST_TEST(path.accepted == 20);
-    BOOST_TEST(path.here.starts.empty());
-    BOOST_REQUIRE(path.there.starts.size() == 20U);
-    const StartOrder& order = path.there.starts.front();
+    BOOST_TEST(path.direct_client.starts.empty());
+    BOOST_REQUIRE(path.relay_client.starts.size() == 20U);
+    const StartOrder& order = path.relay_client.starts.front();
     BOOST_TEST(order.task.to_string() == "job0.0.0.0");
     BOOST_TEST(order.run == 3);
     BOOST_TEST(order.fence == 9);
-    BOOST_TEST(order.hold_until == 1234);
+    BOOST_TEST(order.lease_until == 1234);
     BOOST_TEST(order.payload == "payload");
     BOOST_TEST(order.ticket == "t");
     BOOST_TEST(order.checkpoint == "c");
@@ -51,7 +51,7 @@
 // the leader.
 BOOST_AUTO_TEST_CASE(payloads_come_from_the_acceptor)
 {
-    Path path;
+    RelayFixture path;
     const std::string payload(4000, 'x');
     path.wire.payloads["job"] = payload;
     path.workers.note_acceptor("job", "a");
@@ -59,7 +59,7 @@
         path.start("job", payload);
     path.world.run_for(Millis(300));
     BOOST_TEST(path.accepted == 40);
-    BOOST_TEST(path.there.starts.back().payload == payload);
+    BOOST_TEST(path.relay_client.starts.back().payload == payload);
     int asked = 0;
     for (const PeerRequest& request : path.wire.sent) {
         asked += request.topic == PeerTopic::job_payload ? 1 : 0;
@@ -70,53 +70,53 @@
 
 BOOST_AUTO_TEST_CASE(a_payload_that_nobody_has_goes_with_the_leaders_own_order)
 {
-    Path path;
+    RelayFixture path;
     path.workers.note_acceptor("job", "a");
     path.start("job", "payload");
     path.world.run_for(Millis(300));
     BOOST_TEST(path.accepted == 1);
-    BOOST_TEST(path.there.starts.empty());
-    BOOST_REQUIRE(path.here.starts.size() == 1U);
-    BOOST_TEST(path.here.starts.front().payload == "payload");
+    BOOST_TEST(path.relay_client.starts.empty());
+    BOOST_REQUIRE(path.direct_client.starts.size() == 1U);
+    BOOST_TEST(path.direct_client.starts.front().payload == "payload");
 }
 
 // Nothing listens there: what was not sent goes from here, once.
 BOOST_AUTO_TEST_CASE(calls_to_a_relay_that_is_gone_are_made_directly)
 {
-    Path path;
+    RelayFixture path;
     path.wire.refuses = true;
     path.start("job1", "p");
     path.world.run_for(Millis(100));
     path.start("job2", "p");
     path.world.run_for(Millis(300));
     BOOST_TEST(path.accepted == 2);
-    BOOST_TEST(path.here.starts.size() == 2U);
-    BOOST_TEST(path.there.starts.empty());
+    BOOST_TEST(path.direct_client.starts.size() == 2U);
+    BOOST_TEST(path.relay_client.starts.empty());
 }
 
 // It may have done what it was given: the order is in doubt and not given again from here.
 BOOST_AUTO_TEST_CASE(calls_of_a_silent_relay_are_in_doubt)
 {
-    Path path;
-    path.wire.swallows = true;
+    RelayFixture path;
+    path.wire.drops = true;
     path.start("job1", "p");
     path.world.run_for(Millis(1200));
     BOOST_TEST(path.unknown == 1);
-    BOOST_TEST(path.here.starts.empty());
+    BOOST_TEST(path.direct_client.starts.empty());
     // Soon it is no follower any more, and this node makes its calls itself.
     path.workers.set_nodes({});
     path.start("job2", "p");
     path.world.run_for(Millis(300));
     BOOST_TEST(path.accepted == 1);
-    BOOST_TEST(path.here.starts.size() == 1U);
+    BOOST_TEST(path.direct_client.starts.size() == 1U);
 }
 
 // One message was lost on a connection that went silent; the relay answers later ones.
 BOOST_AUTO_TEST_CASE(message_lost_on_a_silent_connection_loses_no_relay)
 {
-    Path path;
+    RelayFixture path;
     path.world.run_for(Millis(500)); // No message is open.
-    path.wire.swallows_next = true;
+    path.wire.drops_next = true;
     path.start("lost", "p");
     path.world.run_for(Millis(60));
     path.start("begun", "p");
@@ -130,44 +130,44 @@
     path.world.run_for(Millis(200));
     BOOST_TEST(path.accepted == rounds + 1);
     BOOST_TEST(path.unknown == 1);
-    BOOST_TEST(path.here.starts.empty());
+    BOOST_TEST(path.direct_client.starts.empty());
     BOOST_TEST(path.workers.first_relay() == "r");
 }
 
 // Answers need a message that is open at the relay, and the lost one is not.
 BOOST_AUTO_TEST_CASE(answers_do_not_wait_for_a_message_that_was_lost)
 {
-    Path path;
+    RelayFixture path;
     path.world.run_for(Millis(500));
-    path.wire.swallows_next = true;
+    path.wire.drops_next = true;
     path.start("lost", "p");
     path.world.run_for(Millis(60));
     bool seen = false;
-    LookOrder look;
+    PollRequest look;
     look.wait = Millis(1800);
     WorkerInfo worker;
     worker.id = "w1";
-    path.workers.look(worker, look, Millis(2100),
-                      [&](OrderStatus, const std::optional<LookReport>& report) {
+    path.workers.poll(worker, look, Millis(2100),
+                      [&](OrderStatus, const std::optional<PollReport>& report) {
                           seen = report.has_value();
                       });
     // The message that brought it is given back empty after its hold.
-    path.world.run_for(Millis(60) + relay_hold + Millis(60));
-    BOOST_REQUIRE(path.there.looks.size() == 1U);
-    LookReport report;
+    path.world.run_for(Millis(60) + relay_poll_wait + Millis(60));
+    BOOST_REQUIRE(path.relay_client.looks.size() == 1U);
+    PollReport report;
     report.ended.push_back({ 12, { "job", 0, 0, 2 }, 3, EndKind::failed, "d" });
-    path.there.looks.front()(OrderStatus::accepted, report);
+    path.relay_client.looks.front()(OrderStatus::accepted, report);
     path.world.run_for(Millis(60));
     BOOST_TEST(seen);
 }
 
 BOOST_AUTO_TEST_CASE(calls_of_an_earlier_process_are_in_doubt)
 {
-    Path path;
-    path.there.silent = true;
+    RelayFixture path;
+    path.relay_client.silent = true;
     path.start("job1", "p");
     path.world.run_for(Millis(50));
-    path.there.silent = false;
+    path.relay_client.silent = false;
     path.restart("two");
     path.start("job2", "p");
     path.world.run_for(Millis(120));
@@ -176,23 +176,23 @@
 
 BOOST_AUTO_TEST_CASE(a_look_that_waits_is_answered_when_it_ends)
 {
-    Path path;
+    RelayFixture path;
     WorkerInfo worker;
     worker.id = "w1";
-    std::optional<LookReport> seen;
-    LookOrder look;
+    std::optional<PollReport> seen;
+    PollRequest look;
     look.wait = Millis(1800);
-    path.workers.look(
+    path.workers.poll(
         worker, look, Millis(2100),
-        [&](OrderStatus, const std::optional<LookReport>& report) { seen = report; });
+        [&](OrderStatus, const std::optional<PollReport>& report) { seen = report; });
     path.world.run_for(Millis(1500));
     BOOST_TEST(!seen);
-    BOOST_REQUIRE(path.there.looks.size() == 1U);
-    LookReport report;
+    BOOST_REQUIRE(path.relay_client.looks.size() == 1U);
+    PollReport report;
     report.clock_ms = 99;
     report.running.push_back({ { "job", 0, 0, 1 }, 4, "c", 55, 1.5 });
     report.ended.push_back({ 12, { "job", 0, 0, 2 }, 3, EndKind::failed, "d" });
-    path.there.looks.front()(OrderStatus::accepted, report);
+    path.relay_client.looks.front()(OrderStatus::accepted, report);
     path.world.run_for(Millis(60));
     BOOST_REQUIRE(seen.has_value());
     BOOST_TEST(seen->clock_ms == 99);
@@ -205,7 +205,7 @@
 
 BOOST_AUTO_TEST_CASE(nothing_of_an_ended_epoch_comes_back)
 {
-    Path path;
+    RelayFixture path;
     path.start("job1", "p");
     path.workers.end_epoch();
     path.world.run_for(Millis(3000));
@@ -215,8 +215,8 @@
 
 BOOST_AUTO_TEST_CASE(an_earlier_leaders_batch_is_refused_whole)
 {
-    Path path;
-    PeerRequest later = Path::leader();
+    RelayFixture path;
+    PeerRequest later = RelayFixture::leader();
     later.topic = PeerTopic::worker_calls;
     later.incarnation = "leader-2";
     later.epoch = 6;
@@ -224,17 +224,17 @@
     path.start("job1", "p");
     path.world.run_for(Millis(300));
     // The worker's fence decides about the order that the earlier leader gives itself.
-    BOOST_TEST(path.there.starts.empty());
-    BOOST_TEST(path.here.starts.size() == 1U);
+    BOOST_TEST(path.relay_client.starts.empty());
+    BOOST_TEST(path.direct_client.starts.size() == 1U);
 }
 
 BOOST_AUTO_TEST_CASE(a_malformed_batch_is_refused_whole)
 {
-    Path path;
+    RelayFixture path;
     for (const char* const calls :
          { "[[1", "7", "[[1,9,\"w\",\"a\",5]]", "[[1,3,\"w\",\"a\",5,1,2,3,4],[2]]",
            "[[1,0,\"w\",\"a\",5,\"no task\",1,1,1,\"\",\"\",\"\",false,\"\"]]" }) {
-        PeerRequest request = Path::leader();
+        PeerRequest request = RelayFixture::leader();
         request.topic = PeerTopic::worker_calls;
         request.epoch = 5;
         request.calls = calls;
@@ -243,8 +243,8 @@
         BOOST_REQUIRE_MESSAGE(got.has_value(), calls);
         BOOST_TEST(!got->served);
     }
-    BOOST_TEST(path.there.looks.empty());
-    BOOST_TEST(path.there.starts.empty());
+    BOOST_TEST(path.relay_client.looks.empty());
+    BOOST_TEST(path.relay_client.starts.empty());
 }
 
 BOOST_AUTO_TEST_CASE(the_oldest_payloads_go_first)
--- a/src/jobs.lib/response_time.cpp
+++ b/src/jobs.lib/response_time.cpp
@@ -19,17 +19,17 @@
 } // namespace
 
 ResponseTime::ResponseTime(Millis least, Millis most)
-    : m_least(least)
-    , m_most(most)
+    : m_min_timeout(least)
+    , m_max_timeout(most)
 {
 }
 
-void ResponseTime::note(Millis took)
+void ResponseTime::add_sample(Millis took)
 {
     const auto ms = double(took.count());
-    m_missing = 0;
-    if (!m_known) {
-        m_known = true;
+    m_timeouts = 0;
+    if (!m_has_sample) {
+        m_has_sample = true;
         m_smoothed_ms = ms;
         m_deviation_ms = ms / 2;
         return;
@@ -38,19 +38,19 @@
     m_smoothed_ms += smoothing * (ms - m_smoothed_ms);
 }
 
-void ResponseTime::note_missing()
+void ResponseTime::add_timeout()
 {
-    m_missing = std::min(m_missing + 1, most_doublings);
+    m_timeouts = std::min(m_timeouts + 1, most_doublings);
 }
 
-Millis ResponseTime::limit() const
+Millis ResponseTime::timeout() const
 {
-    if (!m_known)
-        return m_most;
+    if (!m_has_sample)
+        return m_max_timeout;
     const Millis learned(
         static_cast<int64_t>(std::ceil(m_smoothed_ms + deviations * m_deviation_ms)));
-    const int64_t limit = std::max(learned, m_least).count() << m_missing;
-    return std::min(Millis(limit), m_most);
+    const int64_t limit = std::max(learned, m_min_timeout).count() << m_timeouts;
+    return std::min(Millis(limit), m_max_timeout);
 }
 
 } // namespace pathport::jobs
--- a/src/jobs.lib/response_time.h
+++ b/src/jobs.lib/response_time.h
@@ -22,19 +22,19 @@
     ResponseTime(Millis least, Millis most);
 
     /// An answer came after `took`.
-    void note(Millis took);
+    void add_sample(Millis took);
     /// No answer came within limit().
-    void note_missing();
+    void add_timeout();
     /// Returns how long an answer should be waited for.
-    Millis limit() const;
+    Millis timeout() const;
 
 private:
-    Millis m_least;
-    Millis m_most;
-    bool m_known = false;
+    Millis m_min_timeout;
+    Millis m_max_timeout;
+    bool m_has_sample = false;
     double m_smoothed_ms = 0;
     double m_deviation_ms = 0;
-    int m_missing = 0; ///< In a row, up to a bound.
+    int m_timeouts = 0; ///< In a row, up to a bound.
 };
 
 } // namespace pathport::jobs
--- a/src/jobs.lib/response_time_test.cpp
+++ b/src/jobs.lib/response_time_test.cpp
@@ -21,7 +21,7 @@
 {
     ResponseTime time(least, most);
     for (int i = 0; i < count; ++i)
-        time.note(took);
+        time.add_sample(took);
     return time;
 }
 
@@ -29,41 +29,41 @@
 
 BOOST_AUTO_TEST_CASE(unknown_peers_are_waited_for_longest)
 {
-    BOOST_TEST((ResponseTime(least, most).limit() == most));
+    BOOST_TEST((ResponseTime(least, most).timeout() == most));
 }
 
 BOOST_AUTO_TEST_CASE(quick_peers_are_waited_for_least)
 {
-    BOOST_TEST((after_answers(10, Millis(4)).limit() == least));
+    BOOST_TEST((after_answers(10, Millis(4)).timeout() == least));
 }
 
 BOOST_AUTO_TEST_CASE(slow_peers_are_waited_for_longer_within_bounds)
 {
-    const Millis limit = after_answers(30, Millis(150)).limit();
+    const Millis limit = after_answers(30, Millis(150)).timeout();
     BOOST_TEST((limit >= Millis(150)));
     BOOST_TEST((limit < Millis(300)));
-    BOOST_TEST((after_answers(30, Millis(5000)).limit() == most));
+    BOOST_TEST((after_answers(30, Millis(5000)).timeout() == most));
 }
 
 // One late answer among quick ones widens the limit for a while.
 BOOST_AUTO_TEST_CASE(varying_peers_are_waited_for_longer)
 {
     ResponseTime time = after_answers(20, Millis(10));
-    time.note(Millis(200));
-    BOOST_TEST((time.limit() > Millis(200)));
+    time.add_sample(Millis(200));
+    BOOST_TEST((time.timeout() > Millis(200)));
     for (int i = 0; i < 40; ++i)
-        time.note(Millis(10));
-    BOOST_TEST((time.limit() == least));
+        time.add_sample(Millis(10));
+    BOOST_TEST((time.timeout() == least));
 }
 
 BOOST_AUTO_TEST_CASE(missing_answers_double_the_limit_until_one_comes)
 {
     ResponseTime time = after_answers(10, Millis(4));
-    time.note_missing();
-    BOOST_TEST((time.limit() == Millis(200)));
-    time.note_missing();
-    time.note_missing();
-    BOOST_TEST((time.limit() == most));
-    time.note(Millis(4));
-    BOOST_TEST((time.limit() == least));
+    time.add_timeout();
+    BOOST_TEST((time.timeout() == Millis(200)));
+    time.add_timeout();
+    time.add_timeout();
+    BOOST_TEST((time.timeout() == most));
+    time.add_sample(Millis(4));
+    BOOST_TEST((time.timeout() == least));
 }
--- a/src/jobs.lib/come_back.cpp
+++ b/src/jobs.lib/retry_delay.cpp
@@ -1,7 +1,7 @@
 // Copyright the pathport authors.
 // SPDX-License-Identifier: Apache-2.0
 
-#include "come_back.h"
+#include "retry_delay.h"
 
 #include <pathport/ids.h>
 
@@ -37,8 +37,8 @@
     return longest;
 }
 
-Millis come_back_pause(const Queue& queue, const JobSpec& spec, const std::string& id,
-                       Millis outage)
+Millis retry_delay(const Queue& queue, const JobSpec& spec, const std::string& id,
+                   Millis outage)
 {
     const int64_t chain = longest_chain_ms(spec);
     const int64_t slack
--- a/src/jobs.lib/come_back.h
+++ b/src/jobs.lib/retry_delay.h
@@ -17,8 +17,8 @@
 /// come back after as long again, and reach beyond an outage with few tries. A job that
 /// could not be done in its time then is asked for sooner: the most urgent come back first,
 /// and the others at times spread by their ids.
-Millis come_back_pause(const Queue& queue, const JobSpec& spec, const std::string& id,
-                       Millis outage);
+Millis retry_delay(const Queue& queue, const JobSpec& spec, const std::string& id,
+                   Millis outage);
 
 /// Returns the longest chain of expected run times over the steps of a job.
 int64_t longest_chain_ms(const JobSpec& spec);
--- a/src/jobs.lib/come_back_test.cpp
+++ b/src/jobs.lib/retry_delay_test.cpp
@@ -7,10 +7,10 @@
 /// of a second for all of them, each that came in the first second of an outage of five was
 /// lost.
 
-#define BOOST_TEST_MODULE come_back
+#define BOOST_TEST_MODULE retry_delay
 #include <boost/test/unit_test.hpp>
 
-#include "come_back.h"
+#include "retry_delay.h"
 
 using pathport::Millis;
 using namespace pathport::jobs;
@@ -48,7 +48,7 @@
     for (int i = 0; i < tries; ++i) {
         if (now >= outage)
             return now;
-        now += come_back_pause(queue, spec, id, Millis(now)).count();
+        now += retry_delay(queue, spec, id, Millis(now)).count();
     }
     return std::nullopt;
 }
@@ -75,10 +75,9 @@
     for (int i = 0; i < 20; ++i) {
         const std::string id = "job" + std::to_string(i);
         for (const int64_t outage : { 0, 1000, 5000, 60000 }) {
-            const Millis quote = come_back_pause(quotes, job_of(640), id, Millis(outage));
-            const Millis closing
-                = come_back_pause(closings, job_of(4000), id, Millis(outage));
-            const Millis check = come_back_pause(checks, job_of(3400), id, Millis(outage));
+            const Millis quote = retry_delay(quotes, job_of(640), id, Millis(outage));
+            const Millis closing = retry_delay(closings, job_of(4000), id, Millis(outage));
+            const Millis check = retry_delay(checks, job_of(3400), id, Millis(outage));
             BOOST_TEST(quote.count() == 1000);
             BOOST_TEST(closing.count() >= quote.count());
             BOOST_TEST(check.count() >= closing.count());
@@ -92,8 +91,8 @@
     int sooner = 0;
     constexpr int callers = 200;
     for (int i = 0; i < callers; ++i) {
-        const Millis pause = come_back_pause(checks, job_of(3400),
-                                             "job" + std::to_string(i), Millis(3500));
+        const Millis pause
+            = retry_delay(checks, job_of(3400), "job" + std::to_string(i), Millis(3500));
         BOOST_TEST((pause == Millis(3000) || pause == Millis(4000)));
         sooner += pause == Millis(3000) ? 1 : 0;
     }
@@ -108,5 +107,5 @@
     chain.steps.back().expected_ms = 2000;
     chain.steps.back().after = { 0 };
     BOOST_TEST(longest_chain_ms(chain) == 3000);
-    BOOST_TEST(come_back_pause(Queue(), JobSpec(), "", Millis(100000)).count() == 1000);
+    BOOST_TEST(retry_delay(Queue(), JobSpec(), "", Millis(100000)).count() == 1000);
 }
--- a/src/jobs.lib/scarce_advice_test.cpp
+++ b/src/jobs.lib/scarce_advice_test.cpp
@@ -41,13 +41,13 @@
     return queue;
 }
 
-TaskFacts facts_of(int count, int64_t run_ms, int64_t advice_ms, bool gang = false)
+StepModel facts_of(int count, int64_t run_ms, int64_t advice_ms, bool gang = false)
 {
-    TaskFacts facts;
+    StepModel facts;
     facts.count = count;
     facts.run_ms = run_ms;
     facts.need = { 400, 400, 0 };
-    facts.advice_ms = advice_ms;
+    facts.advice_latency_ms = advice_ms;
     facts.gang = gang;
     return facts;
 }
@@ -65,10 +65,10 @@
         configuration.queues.push_back(queue_of("closings", 1, slow_ms));
         configuration.queues.push_back(queue_of("checks", 2, medium_ms));
         cell.configure(configuration);
-        cell.workers.trouble.ticket_life = Millis(2000);
+        cell.workers.injected.ticket_validity = Millis(2000);
         cell.workers.allowed_tenths = 4;
         cell.watch_jobs();
-        cell.disturbed(Millis(3000));
+        cell.note_disturbance(Millis(3000));
         cell.world.run_for(Millis(3000));
     }
 
@@ -96,7 +96,7 @@
             if (--m_present < left)
                 break;
             cell.stop(node, for_good);
-            cell.disturbed(Millis(5500));
+            cell.note_disturbance(Millis(5500));
             load(Millis(700));
         }
     }
@@ -112,7 +112,7 @@
     Cell cell;
 
 private:
-    static TaskFacts then(TaskFacts facts)
+    static StepModel then(StepModel facts)
     {
         facts.after = { 0 };
         return facts;
@@ -124,7 +124,7 @@
 
 } // namespace
 
-BOOST_TEST_GLOBAL_FIXTURE(QuietLog);
+BOOST_TEST_GLOBAL_FIXTURE(LogFixture);
 
 BOOST_AUTO_TEST_CASE(accepted_jobs_are_asked_about_when_few_nodes_are_left)
 {
@@ -134,13 +134,13 @@
             loaded.load(Millis(3000));
             loaded.remove_nodes(left);
             loaded.load(Millis(20000));
-            const size_t standing = loaded.cell.standing().size();
+            const size_t standing = loaded.cell.liveness_violations().size();
             loaded.cell.world.run_for(Millis(16000));
-            const auto wrong = loaded.cell.verdict();
+            const auto wrong = loaded.cell.final_violations();
             BOOST_TEST(wrong.empty(),
                        left << " nodes left, seed " << seed << ", " << loaded.accepted()
                             << " accepted, " << standing << " stood while jobs came"
-                            << joined(wrong));
+                            << join_lines(wrong));
         }
     }
 }
--- a/src/jobs.lib/scheduler.cpp
+++ b/src/jobs.lib/scheduler.cpp
@@ -14,32 +14,33 @@
 constexpr Millis store_clock_error { 2500 };
 } // namespace
 
-Scheduler::Scheduler(SchedulerParts parts, const Claim& claim,
+Scheduler::Scheduler(SchedulerContext parts, const Claim& claim,
                      std::function<void()> deposed)
-    : m_parts(std::move(parts))
+    : m_context(std::move(parts))
     , m_claim(claim)
     , m_deposed(std::move(deposed))
-    , m_log(m_parts.loop, m_parts.store, *this, claim.head, claim.version, claim.claimed,
-            m_parts.mechanisms)
+    , m_log(m_context.loop, m_context.store, *this, claim.head, claim.version,
+            claim.claimed, m_context.mechanisms)
     , m_last_run(claim.head.epoch * runs_per_epoch)
-    , m_job_reader(m_parts.loop, m_parts.store)
-    , m_progress_reader(m_parts.loop, m_parts.store)
-    , m_feed(m_parts.loop, m_parts.store, [this](const StoredRow& row) {
-        if (m_phase != Phase::over)
+    , m_job_reader(m_context.loop, m_context.store)
+    , m_progress_reader(m_context.loop, m_context.store)
+    , m_feed(m_context.loop, m_context.store, [this](const StoredRow& row) {
+        if (m_phase != Phase::terminated)
             job_row_seen(row);
     })
 {
     constexpr Millis margin { 300 };
-    m_unknown_until = claim.known + leader_lease
-        + longest_by_our_clock(m_parts.bounds.max_hold) + margin;
-    m_leases_over_ms
+    m_earlier_leases_until = claim.known + leader_lease
+        + max_local_duration(m_context.bounds.max_lease) + margin;
+    m_earlier_leaders_until_ms
         = store_time_at(claim.known + leader_lease) + store_clock_error.count();
-    m_unreached = claim.head.silent;
-    m_unresolved = { claim.head.unrecorded_on.begin(), claim.head.unrecorded_on.end() };
-    m_log.set_link(m_parts.link_bytes);
-    m_job_reader.set_link(m_parts.link_bytes);
-    m_progress_reader.set_link(m_parts.link_bytes);
-    m_feed.set_link(m_parts.link_bytes);
+    m_silent_workers = claim.head.silent;
+    m_unresolved = { claim.head.unrecorded_task_workers.begin(),
+                     claim.head.unrecorded_task_workers.end() };
+    m_log.set_link_rate(m_context.link_bytes);
+    m_job_reader.set_link_rate(m_context.link_bytes);
+    m_progress_reader.set_link_rate(m_context.link_bytes);
+    m_feed.set_link_rate(m_context.link_bytes);
 }
 
 Scheduler::~Scheduler() = default;
@@ -47,37 +48,37 @@
 // Returns the store's time at a time of this process.
 int64_t Scheduler::store_time_at(Millis time) const
 {
-    return m_parts.store_clock_ms() + (time - m_parts.loop.now()).count();
+    return m_context.store_clock_ms() + (time - m_context.loop.now()).count();
 }
 
-bool Scheduler::may_order() const
+bool Scheduler::orders_allowed() const
 {
-    if (m_phase == Phase::over)
+    if (m_phase == Phase::terminated)
         return false;
-    const Millis now = m_parts.loop.now();
+    const Millis now = m_context.loop.now();
     return now < m_log.lease_until() || now < m_promised_until;
 }
 
-void Scheduler::answer_missing()
+void Scheduler::call_timed_out()
 {
-    m_answer_missed_at = m_parts.loop.now();
+    m_answer_missed_at = m_context.loop.now();
     ++m_load_counts.answers_missing;
 }
 
-bool Scheduler::answers_go_missing() const
+bool Scheduler::has_recent_timeouts() const
 {
     // Some thousand calls are made in this time, so even rare losses keep it up.
     constexpr Millis memory { 3000 };
-    return m_answer_missed_at && m_parts.loop.now() - *m_answer_missed_at < memory;
+    return m_answer_missed_at && m_context.loop.now() - *m_answer_missed_at < memory;
 }
 
 void Scheduler::depose()
 {
-    if (m_phase == Phase::over)
+    if (m_phase == Phase::terminated)
         return;
-    m_phase = Phase::over;
+    m_phase = Phase::terminated;
     // The owner destroys this scheduler, which must not happen inside a callback of it.
-    m_parts.loop.after(Millis(0), m_deposed);
+    m_context.loop.after(Millis(0), m_deposed);
 }
 
 void Scheduler::hand_over(std::string leader_row, std::string incarnation,
@@ -90,7 +91,7 @@
                     }));
 }
 
-void Scheduler::log_lost()
+void Scheduler::log_fenced()
 {
     depose();
 }
@@ -157,9 +158,9 @@
     if (closed != m_closed.end())
         return closed->second.state;
     const auto open = m_jobs.find(id);
-    if (open == m_jobs.end() || !may_order())
+    if (open == m_jobs.end() || !orders_allowed())
         return std::nullopt;
-    return open->second->shown_state();
+    return open->second->visible_state();
 }
 
 std::string Scheduler::workspace_of(const std::string& id) const
@@ -173,7 +174,7 @@
 
 std::optional<int64_t> Scheduler::pending_in(const std::string& queue) const
 {
-    if (m_phase == Phase::loading || !may_order())
+    if (m_phase == Phase::loading || !orders_allowed())
         return std::nullopt;
     int64_t count = 0;
     for (const auto& [id, job] : m_jobs) {
@@ -189,10 +190,10 @@
 {
     if (worker.load.holds(task))
         return;
-    Occupant occupant;
+    Allocation occupant;
     occupant.run = run;
     occupant.need = spec.need;
-    if (spec.fills)
+    if (spec.best_effort_cpu)
         occupant.need.cpu_millis = 0;
     occupant.priority = job == nullptr ? 0 : job->rank();
     occupant.workspace = job == nullptr ? workspace_number_of(task) : job->workspace;
@@ -205,7 +206,7 @@
 
 void Scheduler::vacate(Worker& worker, const TaskId& task, int64_t run)
 {
-    const Occupant* found = worker.load.find(task, run);
+    const Allocation* found = worker.load.find(task, run);
     if (found == nullptr)
         return;
     m_usage.discharge(found->workspace, found->charged);
@@ -218,10 +219,10 @@
 void Scheduler::release(Task& task)
 {
     task.phase = TaskPhase::waiting;
-    task.released_at = m_parts.loop.now();
+    task.requeued_at = m_context.loop.now();
     task.worker.clear();
     task.ticket.clear();
-    task.pace = 100;
+    task.speed_percent = 100;
 }
 
 } // namespace pathport::jobs
--- a/src/jobs.lib/scheduler.h
+++ b/src/jobs.lib/scheduler.h
@@ -7,17 +7,17 @@
 
 #pragma once
 
-#include "advice_door.h"
 #include "advice_pool.h"
-#include "explanation_turns.h"
 #include "head_log.h"
 #include "job_feed.h"
 #include "job_record.h"
 #include "lifetime.h"
 #include "placement.h"
-#include "scheduler_parts.h"
+#include "queue_admission.h"
+#include "scheduler_context.h"
 #include "silent_workers.h"
 #include "store_clock.h"
+#include "wait_log_limiter.h"
 #include "worker_load.h"
 #include "worker_session.h"
 
@@ -41,24 +41,24 @@
 namespace pathport::jobs {
 
 /// How long a worker that was left alone gets one task at a time.
-constexpr Millis trial_time { 2500 };
+constexpr Millis probation_time { 2500 };
 
 /// How long the record and the order of a start take at most, once its room is there.
-constexpr Millis record_and_order { 350 };
+constexpr Millis max_start_latency { 350 };
 /// Workers are kept no longer while an answer of the advisor is waited for.
-constexpr Millis longest_question { 3000 };
+constexpr Millis max_advice_wait { 3000 };
 
 /// The scheduler of one epoch.
 class Scheduler : public SessionListener, public HeadLogOwner {
 public:
     /// `deposed` is called once, when another leader has taken over.
-    Scheduler(SchedulerParts parts, const Claim& claim, std::function<void()> deposed);
+    Scheduler(SchedulerContext parts, const Claim& claim, std::function<void()> deposed);
     ~Scheduler() override;
 
     /// Begins: reads what is recorded, then looks at the workers, then orders.
     void begin();
     /// Returns whether it has read everything and orders.
-    bool acting() const { return m_phase == Phase::acting; }
+    bool scheduling() const { return m_phase == Phase::scheduling; }
     /// Notes that the leadership is offered to others. Orders go on until one has taken it:
     /// the log and the workers' fences then end them.
     void set_resigned(bool resigned) { m_resigned = resigned; }
@@ -86,7 +86,7 @@
     /// promises not to take over.
     void set_promised_until(Millis until) { m_promised_until = until; }
     /// Returns the queues that take no jobs at present.
-    const std::vector<ClosedQueue>& closed_queues() const { return m_door.closed(); }
+    const std::vector<ClosedQueue>& closed_queues() const { return m_admission.closed(); }
     /// Returns the load of each workspace of the configuration.
     std::vector<WorkspaceLoad> workspace_loads() const;
     const HeadLog& log() const { return m_log; }
@@ -96,15 +96,15 @@
     size_t reachable_workers() const;
 
     // SessionListener
-    bool may_order() const override;
-    void answer_missing() override;
-    bool answers_go_missing() const override;
-    bool may_lease(const WorkerSession& session) const override;
-    void lost(WorkerSession& session) override;
-    void reported(WorkerSession& session, const LookReport& report,
-                  ReportStage stage) override;
-    void life_over(WorkerSession& session) override;
-    void lease_lapsed(WorkerSession& session) override;
+    bool orders_allowed() const override;
+    void call_timed_out() override;
+    bool has_recent_timeouts() const override;
+    bool may_renew_lease(const WorkerSession& session) const override;
+    void worker_lost(WorkerSession& session) override;
+    void report_received(WorkerSession& session, const PollReport& report,
+                         ReportStage stage) override;
+    void incarnation_ended(WorkerSession& session) override;
+    void lease_expired(WorkerSession& session) override;
     void run_gone(WorkerSession& session, const TaskId& task, int64_t run) override;
     void fenced_off(WorkerSession& session) override;
     // HeadLogOwner
@@ -112,11 +112,11 @@
     std::vector<std::string> unrecorded_workers(bool orders_precede) override;
     SilentWorkers silent_workers() override;
     void head_written() override;
-    void orders_released() override;
-    void log_lost() override;
+    void early_orders_enabled() override;
+    void log_fenced() override;
 
 private:
-    enum class Phase { loading, settling, acting, over };
+    enum class Phase { loading, awaiting_reports, scheduling, terminated };
 
     /// Ends of one report that wait to be recorded.
     struct EndBatch {
@@ -132,11 +132,11 @@
         int64_t answers_missing = 0; ///< Calls to workers that got none in their time.
     };
     /// Ends that a worker told of a job that isn't known yet.
-    struct KeptEnds {
+    struct DeferredEnds {
         std::string worker;
         std::vector<EndedTask> ends;
         std::function<void()> done; ///< The worker may forget them.
-        Millis told;
+        Millis received_at;
     };
     /// A job that is closed, as its row has it.
     struct ClosedJob {
@@ -149,7 +149,7 @@
         int64_t run = 0;
         /// It is known to have been there for so long; nothing if an earlier leader started
         /// it.
-        std::optional<Millis> lived;
+        std::optional<Millis> known_runtime;
     };
     /// How a worker was lost.
     enum class Loss {
@@ -160,7 +160,7 @@
     struct LapsedRuns {
         std::vector<LostRun> runs;
         Loss loss = Loss::silence;
-        bool held = false; ///< They are held against their tasks.
+        bool attributed = false; ///< They are held against their tasks.
         Millis at;
     };
     /// A worker and what was given to it.
@@ -171,10 +171,11 @@
         std::string rack;
         WorkerLoad load;
         std::deque<std::shared_ptr<EndBatch>> batches;
-        int surprises = 0; ///< Failures, refusals and standing tasks since a success.
+        int consecutive_faults
+            = 0; ///< Failures, refusals and standing tasks since a success.
         std::string last_failed_job;
-        std::set<std::string> on_trial; ///< Suspects there, not cleared yet.
-        bool closed = false; ///< One of them is to be alone with what was there before.
+        std::set<std::string> active_suspects; ///< Suspects there, not cleared yet.
+        bool isolated = false; ///< One of them is to be alone with what was there before.
         Millis last_start; ///< When it was last chosen for a task.
         std::string held_for; ///< A suspect that is to start there once that is quiet.
         Millis held_until; ///< Nothing else is started there until then.
@@ -184,22 +185,23 @@
         double slowness = 0;
     };
     /// A worker that a step may use, or may be allowed to.
-    struct Prospect {
+    struct WorkerCandidate {
         Worker* worker = nullptr;
         int fit = 0; ///< Tasks of the step for which there is room.
-        int later_fit = 0; ///< The same once less urgent tasks there have ended.
+        int potential_fit = 0; ///< The same once less urgent tasks there have ended.
         bool second_choice = false; ///< As in WorkerRoom.
         bool slow = false; ///< Slower than others, and the step is urgent.
     };
     /// All such workers, those with the most room first.
-    struct Prospects {
-        std::vector<Prospect> allowed;
-        std::vector<Prospect> unasked;
-        std::vector<Prospect> refused; ///< So long ago that they may be asked about again.
+    struct WorkerCandidates {
+        std::vector<WorkerCandidate> allowed;
+        std::vector<WorkerCandidate> unasked;
+        std::vector<WorkerCandidate>
+            refused; ///< So long ago that they may be asked about again.
         int refused_fit = 0; ///< Sum over those refused.
-        int first_fit = 0; ///< Sum over those allowed that are no second choice.
+        int preferred_fit = 0; ///< Sum over those allowed that are no second choice.
         int fit = 0; ///< Sums over those allowed.
-        int later_fit = 0;
+        int potential_fit = 0;
     };
     /// A run that may be stopped for more urgent work without losing its progress.
     struct Victim {
@@ -208,11 +210,13 @@
         Resources need;
         bool stopping = false; ///< It was told to stop already.
     };
-    static bool fit_first(const Prospect& left, const Prospect& right);
-    static std::vector<WorkerNumber> numbers(const std::vector<Prospect>& prospects);
+    static bool is_better_candidate(const WorkerCandidate& left,
+                                    const WorkerCandidate& right);
+    static std::vector<WorkerNumber>
+    worker_numbers(const std::vector<WorkerCandidate>& prospects);
 
     /// A step that has tasks to place.
-    struct Candidate {
+    struct PendingStep {
         JobRecord* job = nullptr;
         Step* step = nullptr;
         int64_t slack_ms = 0;
@@ -230,89 +234,90 @@
     void build_records();
     bool is_used(const std::string& service) const;
     // The door (scheduler_door.cpp).
-    void update_door();
+    void update_admission();
     std::vector<AdviceDemand> advice_demands();
     bool awaits_advice(const JobRecord& job, const Step& step) const;
-    void tell_of_door(const std::vector<ClosedQueue>& before,
-                      const std::vector<AdviceDemand>& demands) const;
-    bool is_overdue(const Candidate& candidate, bool room_is_ample);
+    void log_admission_changes(const std::vector<ClosedQueue>& before,
+                               const std::vector<AdviceDemand>& demands) const;
+    bool is_overdue(const PendingStep& candidate, bool room_is_ample);
     double free_share() const;
-    void settle();
+    void activate_when_ready();
     void job_row_seen(const StoredRow& row);
-    void release_unknown_doubts();
-    bool holds_back(const JobRecord& job) const;
+    void release_expired_doubts();
+    bool awaits_unrecorded_runs(const JobRecord& job) const;
     void resolve_unrecorded(const std::string& worker);
     int64_t store_time_at(Millis time) const;
 
     // Lives of workers (scheduler_lives.cpp).
-    void take_workers(const std::vector<WorkerInfo>& listed);
-    void take_worker(const WorkerInfo& info);
-    void end_succeeded(const std::vector<WorkerInfo>& listed);
+    void update_workers(const std::vector<WorkerInfo>& listed);
+    void update_worker(const WorkerInfo& info);
+    void end_replaced(const std::vector<WorkerInfo>& listed);
     void drop_unlisted(const std::string& worker);
     void end_session(Worker& worker);
-    void release_all(Worker& worker, const char* reason, bool keep_doubts);
-    void keep_strays(const WorkerSession& session);
-    Millis strays_until(const std::string& worker) const;
-    void inherit(const std::string& id);
-    void inherit_doubts(const std::string& earlier, const std::string& id,
-                        const std::vector<TaskId>& tasks);
+    void release_tasks(Worker& worker, const char* reason, bool keep_doubts);
+    void keep_unconfirmed_starts(const WorkerSession& session);
+    Millis unconfirmed_until(const std::string& worker) const;
+    void inherit_from_previous(const std::string& id);
+    void inherit_in_doubt(const std::string& earlier, const std::string& id,
+                          const std::vector<TaskId>& tasks);
 
     // Lost workers and what ran there (scheduler_crashes.cpp).
     std::vector<LostRun> runs_on(const Worker& worker);
-    static std::optional<Millis> lived(const Task& task);
-    void hold_against(const std::vector<LostRun>& lost, const std::string& worker,
-                      const char* reason, Loss loss);
-    bool hold_against(const LostRun& run, bool alone, Suspicion worst);
-    bool lost_alone(const LostRun& run, const std::vector<LostRun>& lost);
-    static bool is_proven(const CrashRecord& before, const CrashRecord& after);
+    static std::optional<Millis> known_runtime(const Task& task);
+    void attribute_loss(const std::vector<LostRun>& lost, const std::string& worker,
+                        const char* reason, Loss loss);
+    bool attribute_loss(const LostRun& run, bool alone, Suspicion worst);
+    bool is_sole_suspect(const LostRun& run, const std::vector<LostRun>& lost);
+    static bool is_confirmed(const CrashRecord& before, const CrashRecord& after);
     Suspicion worst_suspicion(const std::vector<LostRun>& lost);
-    bool others_fell(Millis at) const;
-    void judge_soon(const TaskId& id, Task& task);
-    void note_unexplained(const std::string& worker);
-    bool give_up_spent(JobRecord& job, Step& step);
+    bool has_correlated_losses(Millis at) const;
+    void schedule_verdict(const TaskId& id, Task& task);
+    void note_unattributed_loss(const std::string& worker);
+    bool give_up_exhausted(JobRecord& job, Step& step);
     void give_up(JobRecord& job, const TaskId& id, const char* reason);
-    void hold_lapsed(const std::string& worker, std::vector<LostRun> lost, bool listed,
-                     Loss loss);
-    void settle_lapsed(const std::string& worker);
-    void take_back_lapsed(const std::string& worker);
-    void clear_if_outlived(const TaskId& id, Task& task);
+    void note_lapsed_runs(const std::string& worker, std::vector<LostRun> lost, bool listed,
+                          Loss loss);
+    void attribute_lapsed_runs(const std::string& worker);
+    void retract_lapsed_loss(const std::string& worker);
+    void clear_if_survived(const TaskId& id, Task& task);
     // Tasks suspected of it (scheduler_suspects.cpp).
-    void begin_trial(Worker& worker, const TaskId& task);
-    bool is_on_trial(const Task& task, bool wary) const;
-    void refresh_trials(Worker& worker);
+    void track_suspect(Worker& worker, const TaskId& task);
+    bool is_suspect_active(const Task& task, bool wary) const;
+    void refresh_suspects(Worker& worker);
     std::vector<size_t> suspects_to_try(JobRecord& job, const Step& step);
     void place_suspects(JobRecord& job, Step& step, const std::vector<size_t>& suspects,
-                        std::vector<WorkerRoom>& rooms);
+                        std::vector<PlacementOption>& rooms);
     bool place_on_held(JobRecord& job, Step& step, size_t index);
     void hold_for(const JobRecord& job, const Step& step, size_t index,
-                  const std::vector<WorkerRoom>& rooms);
+                  const std::vector<PlacementOption>& rooms);
     Worker* held_for(const std::string& task);
-    size_t best_for_suspect(const Task& task, const std::vector<WorkerRoom>& rooms);
-    bool may_close_another() const;
-    bool gang_waits_apart(const Step& step, int needed, std::vector<WorkerRoom>& rooms);
+    size_t best_for_suspect(const Task& task, const std::vector<PlacementOption>& rooms);
+    bool may_isolate_another() const;
+    bool gang_awaits_isolation(const Step& step, int needed,
+                               std::vector<PlacementOption>& rooms);
 
     // Silent workers (scheduler_silent.cpp).
     bool store_clock_known() const;
-    Millis unknown_until(const std::string& worker) const;
+    Millis earlier_leases_until(const std::string& worker) const;
     void note_answered(const WorkerSession& session);
-    void note_ended(const WorkerSession& session, Millis lapses_at);
+    void note_session_end(const WorkerSession& session, Millis lapses_at);
     void note_unlisted();
 
     // Reports (scheduler_reports.cpp, scheduler_compare.cpp).
-    void record_ends(Worker& worker, const LookReport& report,
+    void record_ends(Worker& worker, const PollReport& report,
                      const std::set<std::string>& changed);
     void adopt(Worker& worker, const RunningTask& running);
-    void occupy_unplanned(Worker& worker, const RunningTask& running);
-    void compare(Worker& worker, const RunningTask& running);
+    void occupy_unexpected(Worker& worker, const RunningTask& running);
+    void reconcile(Worker& worker, const RunningTask& running);
     void stop_unwanted(Worker& worker, const RunningTask& running);
-    bool take_back_intent(const TaskId& id, Task& task);
+    bool cancel_intent(const TaskId& id, Task& task);
     static bool is_late_success(const Step& step, const EndedTask& end);
     void note_progress(Worker& worker, const RunningTask& running);
     void note_progress(Task& task, const RunningTask& running);
     void release_missing(const Worker& worker);
-    void release_doubts(const std::string& worker, const std::vector<TaskId>& tasks);
-    void note_doubts(const JobRecord& job);
-    static bool is_untold_end(const Task& task, const EndedTask& end);
+    void release_in_doubt(const std::string& worker, const std::vector<TaskId>& tasks);
+    void note_in_doubt(const JobRecord& job);
+    static bool is_unrecorded_end(const Task& task, const EndedTask& end);
     bool apply_end(Worker& worker, const EndedTask& end, bool first);
     void apply_done(JobRecord& job, Step& step, Task& task);
     void apply_failure(Worker& worker, JobRecord& job, Step& step, Task& task,
@@ -322,17 +327,17 @@
     void learn_speed(Worker& worker, const JobRecord& job, const Step& step,
                      const Task& task);
     bool is_slow(const Worker& worker) const;
-    void note_surprise(Worker& worker, const std::string& job);
-    bool avoids_enough_besides(const Worker& worker) const;
+    void note_fault(Worker& worker, const std::string& job);
+    bool avoidance_limit_reached(const Worker& worker) const;
     void note_refusal(Worker& worker, Millis chosen_at);
-    void count_surprise(Worker& worker);
+    void count_fault(Worker& worker);
 
     // What is told of jobs that aren't known yet (scheduler_unknown_jobs.cpp).
-    void keep_ends(const std::string& job, const Worker& worker, const LookReport& report,
-                   std::function<void()> done);
-    void take_kept_ends(const std::string& job);
-    void forget_kept_ends();
-    void join_stray_runs(JobRecord& job);
+    void defer_ends(const std::string& job, const Worker& worker, const PollReport& report,
+                    std::function<void()> done);
+    void apply_deferred_ends(const std::string& job);
+    void drop_deferred_ends();
+    void attach_stray_runs(JobRecord& job);
 
     // Jobs (scheduler_jobs.cpp).
     void job_accepted(const AcceptedJob& job, int64_t version, const char* source);
@@ -351,70 +356,73 @@
     // scheduler_preempt.cpp, scheduler_start.cpp).
     void schedule_pass();
     void pass();
-    std::vector<Candidate> candidates();
+    std::vector<PendingStep> pending_steps();
     static int64_t slack_ms(JobRecord& job, int64_t now_ms);
     static int64_t allowed_ms(JobRecord& job);
-    void place(const Candidate& candidate);
-    size_t place_until(const std::vector<Candidate>& waiting, size_t first, Millis end);
-    void check_again_soon();
+    void place(const PendingStep& candidate);
+    size_t place_until(const std::vector<PendingStep>& waiting, size_t first, Millis end);
+    void schedule_recheck();
     bool gang_may_be_placed(const Step& step) const;
     std::vector<WorkerNumber> second_choices(const Step& step) const;
     bool avoids_second_choices(const JobRecord& job, const Step& step) const;
-    std::vector<WorkerRoom> rooms_for(const JobRecord& job, const Step& step, int needed);
-    WorkerRoom room_on(const Worker& worker, const Step& step,
-                       const std::string& step_name) const;
+    std::vector<PlacementOption> placement_options(const JobRecord& job, const Step& step,
+                                                   int needed);
+    PlacementOption option_on(const Worker& worker, const Step& step,
+                              const std::string& step_name) const;
     bool is_eligible(const Worker& worker, const JobRecord& job, const Step& step) const;
-    Prospects prospects(const JobRecord& job, const Step& step, int needed);
-    static void sort_best(std::vector<Prospect>& prospects);
+    WorkerCandidates worker_candidates(const JobRecord& job, const Step& step, int needed);
+    static void sort_top(std::vector<WorkerCandidate>& prospects);
     int service_number(const std::string& service);
-    int tasks_at_most(const Worker& worker) const;
+    int new_task_limit(const Worker& worker) const;
     void refresh_row(const Worker& worker);
     void refresh_rows();
-    static void sort_in(Prospects& found, Prospect prospect, const Permission* known,
-                        Millis now);
-    static bool any_room(const std::vector<Prospect>& prospects);
+    static void classify(WorkerCandidates& found, WorkerCandidate prospect,
+                         const Permission* known, Millis now);
+    static bool any_fit(const std::vector<WorkerCandidate>& prospects);
     void reserve(Worker& worker, const Step& step);
-    void renew_reservations(const std::vector<Candidate>& waiting);
-    void keep(Step& step, const std::vector<Prospect>& workers, Millis span);
-    Millis ticket_reserve() const;
-    bool choose_for_gang(const Step& step, std::vector<Prospect>& allowed, int needed,
-                         bool room_now);
-    bool tickets_last(const Step& step, const std::vector<Prospect>& workers) const;
+    void renew_reservations(const std::vector<PendingStep>& waiting);
+    void keep(Step& step, const std::vector<WorkerCandidate>& workers, Millis span);
+    Millis min_ticket_lifetime() const;
+    bool choose_for_gang(const Step& step, std::vector<WorkerCandidate>& allowed,
+                         int needed, bool room_now);
+    bool tickets_last(const Step& step, const std::vector<WorkerCandidate>& workers) const;
     void prepare_gang(const JobRecord& job, Step& step, int needed);
-    bool make_room(const JobRecord& job, const Step& step,
-                   const std::vector<Prospect>& kept, int needed);
+    bool preempt_for(const JobRecord& job, const Step& step,
+                     const std::vector<WorkerCandidate>& kept, int needed);
     bool may_preempt(const JobRecord& job) const;
-    bool prepare_some(const JobRecord& job, Step& step, Prospects& found, int needed);
+    bool preempt_for_independent(const JobRecord& job, Step& step, WorkerCandidates& found,
+                                 int needed);
     std::vector<Victim> victims_on(const Worker& worker, int priority);
-    void ask_about_more(const JobRecord& job, Step& step, int needed,
-                        const Prospects& found, const std::vector<Prospect>& unknown);
-    void note_cost(const AdviceQuestion& question);
-    bool take_answer(StepAdvice& advice, const std::vector<WorkerNumber>& asked,
-                     const std::vector<WorkerTicket>& tickets, Millis now, Millis expires);
-    void ask_for_some(const JobRecord& job, Step& step, int needed);
-    static int least_to_ask(const JobRecord& job, const Step& step);
-    bool advice_crowded(const JobRecord& job) const;
+    void ask_about(const JobRecord& job, Step& step, int needed,
+                   const WorkerCandidates& found,
+                   const std::vector<WorkerCandidate>& unknown);
+    void note_query_cost(const AdviceQuery& question);
+    bool apply_advice(StepAdvice& advice, const std::vector<WorkerNumber>& asked,
+                      const std::vector<WorkerTicket>& tickets, Millis now, Millis expires);
+    void ask_for_independent(const JobRecord& job, Step& step, int needed);
+    static int min_workers_to_ask(const JobRecord& job, const Step& step);
+    bool advice_queue_full(const JobRecord& job) const;
     void ask(const JobRecord& job, Step& step, std::vector<WorkerNumber> workers);
-    void explain_wait(const JobRecord& job, Step& step, Millis now);
-    void advice_came(const std::string& job, int repeat, int step,
-                     const std::vector<WorkerNumber>& asked, Millis asked_at,
-                     const AdviceReply& reply);
-    void intend(JobRecord& job, Step& step, const std::vector<size_t>& tasks,
-                const std::vector<Share>& shares);
-    void send_intended(const std::string& job, int repeat, int step, int64_t run,
-                       bool recorded);
+    void log_wait_reason(const JobRecord& job, Step& step, Millis now);
+    void advice_received(const std::string& job, int repeat, int step,
+                         const std::vector<WorkerNumber>& asked, Millis asked_at,
+                         const AdviceReply& reply);
+    void record_intent(JobRecord& job, Step& step, const std::vector<size_t>& tasks,
+                       const std::vector<Assignment>& shares);
+    void send_orders(const std::string& job, int repeat, int step, int64_t run,
+                     bool recorded);
     void start_task(JobRecord& job, Step& step, int index);
     void note_begun(JobRecord& job);
-    void start_ended(const TaskId& id, const std::string& worker, int64_t run,
-                     StartResult result, OrderStatus status);
+    void start_completed(const TaskId& id, const std::string& worker, int64_t run,
+                         StartResult result, OrderStatus status);
 
     // Bounds of workspaces (scheduler_bounds.cpp).
     callers::WorkspaceNumber workspace_number_of(const TaskId& task);
     bool is_beyond_share(const JobRecord& job);
-    void take_bounds();
+    void update_bounds();
     void count_usage();
-    void count_doubts();
-    void keep_doubtful_charges(const JobRecord& job);
+    void count_in_doubt();
+    void keep_in_doubt_charges(const JobRecord& job);
     int tasks_within_bound(const JobRecord& job, Step& step, int needed);
     void discharge_all(const Worker& worker);
 
@@ -423,11 +431,11 @@
     void report_load();
     void observe_phase(const char* phase);
     void check_gang(JobRecord& job, Step& step, Millis now);
-    void check_standing(JobRecord& job, Step& step, Millis now);
+    void check_stalled(JobRecord& job, Step& step, Millis now);
     void leave_draining(JobRecord& job, Step& step);
     void check_listed(JobRecord& job, Step& step);
 
-    bool uses(Mechanism mechanism) const { return m_parts.mechanisms.uses(mechanism); }
+    bool uses(Mechanism mechanism) const { return m_context.mechanisms.uses(mechanism); }
     Worker* find_worker(const std::string& id);
     const Worker* find_worker(const std::string& id) const;
     void occupy(Worker& worker, const TaskId& task, int64_t run, const StepSpec& spec,
@@ -436,7 +444,7 @@
     void release(Task& task);
     void depose();
 
-    SchedulerParts m_parts;
+    SchedulerContext m_context;
     Claim m_claim;
     std::function<void()> m_deposed;
     Phase m_phase = Phase::loading;
@@ -455,49 +463,50 @@
     JobFeed m_feed; ///< Hand-ins and cancellations, from the load on.
     bool m_workers_known = false;
     Millis m_workers_as_of; ///< The present list of workers is no older.
-    bool m_stale_list_told = false;
+    bool m_stale_list_logged = false;
     bool m_reading_workers = false;
-    Millis m_settle_by;
+    Millis m_activate_by;
     /// Workers on which earlier leaders may have started tasks without a record, and which
     /// have not reported to this one.
     std::set<std::string> m_unresolved;
     /// What an earlier leader started without us has ended by then, wherever it was.
-    Millis m_unknown_until;
+    Millis m_earlier_leases_until;
     /// Of workers that have not answered this leader, or not again since their sessions
     /// ended: when their leases are over, as earlier leaders or those sessions tell.
-    SilentWorkers m_unreached;
+    SilentWorkers m_silent_workers;
     /// Workers that answer and wait for a head row that does not name them as silent.
-    std::set<std::string> m_lease_waits;
+    std::set<std::string> m_awaiting_lease;
     /// Tasks that earlier leaders recorded on a worker, until it reports or none of them
     /// can run there any more.
     std::map<std::string, std::vector<TaskId>> m_in_doubt;
     /// Of lives that are over: when tasks have surely ended of which the next life of the
     /// name may have taken the orders.
-    std::map<std::string, Millis> m_strays_until;
+    std::map<std::string, Millis> m_unconfirmed_until;
     /// Lives after which another one of their name answered, as long as the list names
     /// them.
-    std::set<std::string> m_ended_lives;
+    std::set<std::string> m_ended_incarnations;
     /// Workers that were lost lately with nothing on trial there, and when.
-    std::map<std::string, Millis> m_unexplained_losses;
+    std::map<std::string, Millis> m_unattributed_losses;
     /// By life of a worker, of those whose lease has lapsed lately.
     std::map<std::string, LapsedRuns> m_lapsed_runs;
     /// The store's time when no earlier leader can start anything any more.
-    int64_t m_leases_over_ms = 0;
+    int64_t m_earlier_leaders_until_ms = 0;
 
     std::map<std::string, std::unique_ptr<JobRecord>>
         m_jobs; ///< Those that are not closed.
     std::map<std::string, ClosedJob> m_closed; ///< Final states, recorded.
-    std::map<std::string, std::vector<KeptEnds>> m_kept_ends; ///< By job, not known yet.
+    std::map<std::string, std::vector<DeferredEnds>>
+        m_deferred_ends; ///< By job, not known yet.
     std::set<std::string> m_early_cancels; ///< Of jobs that are not known yet.
     std::set<std::string> m_stray_jobs; ///< Not known when runs of theirs were found.
     std::map<std::string, std::vector<std::string>> m_to_archive; ///< By part.
     std::set<std::string> m_archived; ///< Their progress rows are not removed yet.
     Millis m_archive_tried;
     std::map<std::string, Worker> m_workers; ///< By id of the life.
-    RoomTable m_rooms; ///< What each of them has to offer.
-    std::vector<Worker*> m_numbered; ///< By number; none for one that is gone.
+    CapacityTable m_capacity_table; ///< What each of them has to offer.
+    std::vector<Worker*> m_workers_by_number; ///< By number; none for one that is gone.
     std::vector<std::string> m_services; ///< By the numbers of the table.
-    Millis m_rooms_at; ///< When all rows were last brought up to date.
+    Millis m_capacity_refreshed_at; ///< When all rows were last brought up to date.
     /// Above the fences of all sessions that have ended, since one number is bounded and a
     /// list of the workers that may come back isn't. It rises by one with each that ends
     /// and while an order waits for its answer.
@@ -505,25 +514,25 @@
     std::map<std::string, double>
         m_allowed_share; ///< By queue, of the workers asked about.
     std::map<std::string, double>
-        m_question_ms; ///< By queue, the advisor's time for a question, smoothed.
-    AdviceDoor m_door;
+        m_query_ms; ///< By queue, the advisor's time for a question, smoothed.
+    QueueAdmission m_admission;
     callers::UsageLedger m_usage; ///< What each workspace has running.
     std::map<callers::WorkspaceNumber, callers::JobBudget> m_budgets;
     std::shared_ptr<const Configuration> m_bounds_from; ///< Whose bounds the ledger has.
     /// Of jobs that are closed, tasks that may yet run on workers that are silent: what is
     /// charged for each, by name.
-    std::map<std::string, Occupant> m_closed_doubts;
-    std::map<std::string, double> m_guess_error; ///< By queue, smoothed logarithm.
+    std::map<std::string, Allocation> m_closed_in_doubt;
+    std::map<std::string, double> m_estimate_error; ///< By queue, smoothed logarithm.
     std::optional<Millis>
         m_answer_missed_at; ///< When a worker last left a call unanswered.
     Millis m_load_reported;
     bool m_pass_due = false;
-    bool m_check_due = false; ///< A pass will follow for steps that wait for room.
+    bool m_recheck_due = false; ///< A pass will follow for steps that wait for room.
     LoadCounts m_load_counts; ///< Since load was last reported.
     Millis m_last_pass_time; ///< Spent in the last one.
     Millis m_pass_begun; ///< The present or last pass; the time that its choices go by.
     size_t m_steps_waiting = 0; ///< In the last pass.
-    ExplanationTurns m_explanations;
+    WaitLogLimiter m_explanations;
     int m_gangs_prepared = 0; ///< In the present pass.
     Lifetime m_lifetime;
 };
--- a/src/jobs.lib/scheduler_door.cpp
+++ b/src/jobs.lib/scheduler_admission.cpp
@@ -33,16 +33,17 @@
 bool Scheduler::awaits_advice(const JobRecord& job, const Step& step) const
 {
     return job.accepted().queue.advice && step.advice.workers.empty()
-        && step.count(TaskPhase::waiting) > 0 && step.placed() == 0 && job.may_run(step);
+        && step.count(TaskPhase::waiting) > 0 && step.placed() == 0
+        && job.dependencies_met(step);
 }
 
 std::vector<AdviceDemand> Scheduler::advice_demands()
 {
-    const Millis now = m_parts.loop.now();
+    const Millis now = m_context.loop.now();
     std::map<std::string, AdviceDemand> demands;
-    const int64_t now_ms = m_parts.store_clock_ms();
+    const int64_t now_ms = m_context.store_clock_ms();
     for (auto& [id, job] : m_jobs) {
-        if (job->closed() || holds_back(*job))
+        if (job->closed() || awaits_unrecorded_runs(*job))
             continue;
         const Queue& queue = job->accepted().queue;
         const bool late = slack_ms(*job, now_ms) < 0;
@@ -55,8 +56,8 @@
                 demand.priority = queue.priority;
                 const bool idle = step.idle_since > Millis(0);
                 demand.add_step(idle ? now - step.idle_since : Millis(0), late);
-                const auto asked = m_question_ms.find(queue.name);
-                demand.question_ms = asked != m_question_ms.end()
+                const auto asked = m_query_ms.find(queue.name);
+                demand.query_ms = asked != m_query_ms.end()
                     ? asked->second
                     : queue.advice->decision_ms + queue.advice->per_worker_ms * usual_named;
             }
@@ -68,41 +69,42 @@
     return all;
 }
 
-void Scheduler::update_door()
+void Scheduler::update_admission()
 {
-    if (m_parts.loop.now() - m_claim.known < callers_known_after)
+    if (m_context.loop.now() - m_claim.known < callers_known_after)
         return;
-    const std::vector<ClosedQueue> before = m_door.closed();
+    const std::vector<ClosedQueue> before = m_admission.closed();
     // Where room is short, steps that were asked about nobody wait for room.
     const std::vector<AdviceDemand> demands
         = free_share() > short_share ? advice_demands() : std::vector<AdviceDemand>();
-    m_door.update(demands, m_parts.advice.spare_callers());
-    for (const auto& [queue, question_ms] : m_question_ms)
-        m_parts.metrics.set("pathport_advice_wait_seconds",
-                            double(m_door.wait_of(queue).count()) / 1000,
-                            { { "queue", queue } });
-    tell_of_door(before, demands);
+    m_admission.update(demands, m_context.advice.spare_callers());
+    for (const auto& [queue, question_ms] : m_query_ms)
+        m_context.metrics.set("pathport_advice_wait_seconds",
+                              double(m_admission.estimated_wait(queue).count()) / 1000,
+                              { { "queue", queue } });
+    log_admission_changes(before, demands);
 }
 
-void Scheduler::tell_of_door(const std::vector<ClosedQueue>& before,
-                             const std::vector<AdviceDemand>& demands) const
+void Scheduler::log_admission_changes(const std::vector<ClosedQueue>& before,
+                                      const std::vector<AdviceDemand>& demands) const
 {
     for (const AdviceDemand& demand : demands) {
-        if (is_closed(before, demand.queue) || !is_closed(m_door.closed(), demand.queue))
+        if (is_closed(before, demand.queue)
+            || !is_closed(m_admission.closed(), demand.queue))
             continue;
         log_event(LogLevel::warn, "queue_closed",
                   { { "queue", demand.queue },
                     { "steps", demand.steps },
                     { "oldest_ms", demand.oldest.count() },
-                    { "wait_ms", m_door.wait_of(demand.queue).count() },
-                    { "question_ms", static_cast<int64_t>(demand.question_ms) },
-                    { "callers", m_parts.advice.backlog().callers } });
+                    { "wait_ms", m_admission.estimated_wait(demand.queue).count() },
+                    { "question_ms", static_cast<int64_t>(demand.query_ms) },
+                    { "callers", m_context.advice.backlog().callers } });
     }
     for (const ClosedQueue& entry : before) {
-        if (!is_closed(m_door.closed(), entry.queue))
+        if (!is_closed(m_admission.closed(), entry.queue))
             log_event(LogLevel::info, "queue_opened",
                       { { "queue", entry.queue },
-                        { "wait_ms", m_door.wait_of(entry.queue).count() } });
+                        { "wait_ms", m_admission.estimated_wait(entry.queue).count() } });
     }
 }
 
--- a/src/jobs.lib/scheduler_advice.cpp
+++ b/src/jobs.lib/scheduler_advice.cpp
@@ -57,19 +57,22 @@
 } // namespace
 
 // Whatever speaks against a worker, it comes before those that have no room at present.
-bool Scheduler::fit_first(const Prospect& left, const Prospect& right)
+bool Scheduler::is_better_candidate(const WorkerCandidate& left,
+                                    const WorkerCandidate& right)
 {
-    const auto key = [](const Prospect& prospect) {
+    const auto key = [](const WorkerCandidate& prospect) {
         return std::make_tuple(prospect.fit == 0, prospect.second_choice, prospect.slow,
-                               -prospect.fit, -prospect.later_fit, prospect.worker->number);
+                               -prospect.fit, -prospect.potential_fit,
+                               prospect.worker->number);
     };
     return key(left) < key(right);
 }
 
-std::vector<WorkerNumber> Scheduler::numbers(const std::vector<Prospect>& prospects)
+std::vector<WorkerNumber>
+Scheduler::worker_numbers(const std::vector<WorkerCandidate>& prospects)
 {
     std::vector<WorkerNumber> workers;
-    for (const Prospect& prospect : prospects) {
+    for (const WorkerCandidate& prospect : prospects) {
         if (workers.size() >= size_t(most_asked))
             break;
         workers.push_back(prospect.worker->number);
@@ -79,31 +82,31 @@
 
 // Puts the best ones in order, as many as one question may name. Of a thousand workers a
 // question names a hundred at most, so the others stay as they are.
-void Scheduler::sort_best(std::vector<Prospect>& prospects)
+void Scheduler::sort_top(std::vector<WorkerCandidate>& prospects)
 {
     const auto best
         = static_cast<std::ptrdiff_t>(std::min(prospects.size(), size_t(most_asked)));
     std::partial_sort(prospects.begin(), prospects.begin() + best, prospects.end(),
-                      fit_first);
+                      is_better_candidate);
 }
 
-bool Scheduler::any_room(const std::vector<Prospect>& prospects)
+bool Scheduler::any_fit(const std::vector<WorkerCandidate>& prospects)
 {
     return std::any_of(prospects.begin(), prospects.end(),
-                       [](const Prospect& prospect) { return prospect.fit > 0; });
+                       [](const WorkerCandidate& prospect) { return prospect.fit > 0; });
 }
 
 // Adds a worker to those of its kind; `known` is its verdict, if it has one.
-void Scheduler::sort_in(Prospects& found, Prospect prospect, const Permission* known,
-                        Millis now)
+void Scheduler::classify(WorkerCandidates& found, WorkerCandidate prospect,
+                         const Permission* known, Millis now)
 {
     if (known == nullptr) {
         found.unasked.push_back(prospect);
     } else if (known->allowed) {
-        prospect.second_choice = prospect.second_choice || known->left_out;
-        found.first_fit += prospect.second_choice ? 0 : prospect.fit;
+        prospect.second_choice = prospect.second_choice || known->no_ticket;
+        found.preferred_fit += prospect.second_choice ? 0 : prospect.fit;
         found.fit += prospect.fit;
-        found.later_fit += prospect.later_fit;
+        found.potential_fit += prospect.potential_fit;
         found.allowed.push_back(prospect);
     } else if (now >= known->ask_again_at) {
         found.refused_fit += prospect.fit;
@@ -113,8 +116,8 @@
 
 // Returns the workers that the step could use by what is known, and how many of its tasks
 // each would hold.
-Scheduler::Prospects Scheduler::prospects(const JobRecord& job, const Step& step,
-                                          int needed)
+Scheduler::WorkerCandidates Scheduler::worker_candidates(const JobRecord& job,
+                                                         const Step& step, int needed)
 {
     const std::string key = step.name(job.id());
     const StepSpec& spec = *step.spec;
@@ -127,24 +130,24 @@
     Permission without_advice;
     without_advice.allowed = true;
     const std::vector<WorkerNumber> second = second_choices(step);
-    Prospects found;
+    WorkerCandidates found;
     auto known = step.advice.workers.begin();
-    for (WorkerNumber number = 0; number < m_rooms.size(); ++number) {
-        const RoomRow& row = m_rooms.row(number);
+    for (WorkerNumber number = 0; number < m_capacity_table.size(); ++number) {
+        const CapacityRow& row = m_capacity_table.row(number);
         if (!row.open || row.service != service)
             continue;
-        Worker& worker = *m_numbered[number];
+        Worker& worker = *m_workers_by_number[number];
         if (!spec.label.empty() && !worker.session->info().has_label(spec.label))
             continue;
-        Prospect prospect;
+        WorkerCandidate prospect;
         prospect.worker = &worker;
-        if (row.free_for(step)) {
-            int most = std::min(needed, row.at_most);
+        if (row.available_to(step)) {
+            int most = std::min(needed, row.max_new_tasks);
             if (spec.max_per_worker > 0)
                 most = std::min(most, spec.max_per_worker - worker.load.count_of_step(key));
             prospect.fit = tasks_that_fit_into(spec, row.free, needed, most);
             const Resources later = row.free + worker.load.used_below(priority);
-            prospect.later_fit = tasks_that_fit_into(spec, later, needed, most);
+            prospect.potential_fit = tasks_that_fit_into(spec, later, needed, most);
         }
         const Permission* permission = &without_advice;
         if (advised) {
@@ -155,19 +158,19 @@
         }
         const bool worth_a_verdict
             = permission == nullptr && seeks_verdicts && spec.need.fits_in(row.capacity);
-        if (prospect.later_fit == 0 && !worth_a_verdict)
+        if (prospect.potential_fit == 0 && !worth_a_verdict)
             continue;
         prospect.second_choice = std::binary_search(second.begin(), second.end(), number);
         prospect.slow = row.slow && priority == 0;
-        sort_in(found, prospect, permission, m_pass_begun);
+        classify(found, prospect, permission, m_pass_begun);
     }
-    std::sort(found.allowed.begin(), found.allowed.end(), fit_first);
-    sort_best(found.unasked);
-    sort_best(found.refused);
+    std::sort(found.allowed.begin(), found.allowed.end(), is_better_candidate);
+    sort_top(found.unasked);
+    sort_top(found.refused);
     return found;
 }
 
-int Scheduler::least_to_ask(const JobRecord& job, const Step& step)
+int Scheduler::min_workers_to_ask(const JobRecord& job, const Step& step)
 {
     const Queue& queue = job.accepted().queue;
     if (step.spec->gang)
@@ -181,45 +184,46 @@
 
 // Asks about workers whose verdict isn't known, or may have changed, so many that those
 // allowed should suffice. Room that comes when less urgent tasks end counts half.
-void Scheduler::ask_about_more(const JobRecord& job, Step& step, int needed,
-                               const Prospects& found, const std::vector<Prospect>& unknown)
+void Scheduler::ask_about(const JobRecord& job, Step& step, int needed,
+                          const WorkerCandidates& found,
+                          const std::vector<WorkerCandidate>& unknown)
 {
     const double share
         = m_allowed_share.try_emplace(job.accepted().queue.name, first_allowed_share)
               .first->second;
-    double expected = 0.5 * (found.fit + found.later_fit);
-    const int least = least_to_ask(job, step);
-    std::vector<Prospect> chosen;
-    for (const Prospect& prospect : unknown) {
+    double expected = 0.5 * (found.fit + found.potential_fit);
+    const int least = min_workers_to_ask(job, step);
+    std::vector<WorkerCandidate> chosen;
+    for (const WorkerCandidate& prospect : unknown) {
         const bool enough = expected >= asked_reserve * needed;
         if (enough && chosen.size() >= size_t(least))
             break;
-        expected += share * 0.5 * (prospect.fit + prospect.later_fit);
+        expected += share * 0.5 * (prospect.fit + prospect.potential_fit);
         chosen.push_back(prospect);
     }
-    ask(job, step, numbers(chosen));
+    ask(job, step, worker_numbers(chosen));
 }
 
 // Tasks that need not start together: asks again about workers that are known to be allowed
 // if they have room for some, else about further ones, and at last about refused ones.
-void Scheduler::ask_for_some(const JobRecord& job, Step& step, int needed)
+void Scheduler::ask_for_independent(const JobRecord& job, Step& step, int needed)
 {
-    if (step.advice.asking || m_pass_begun < step.advice.retry_at || advice_crowded(job))
+    if (step.advice.asking || m_pass_begun < step.advice.retry_at || advice_queue_full(job))
         return;
-    Prospects found = prospects(job, step, needed);
+    WorkerCandidates found = worker_candidates(job, step, needed);
     const bool first_question = step.advice.workers.empty();
-    if (found.first_fit < needed && (first_question || any_room(found.unasked))) {
-        ask_about_more(job, step, needed, found, found.unasked);
+    if (found.preferred_fit < needed && (first_question || any_fit(found.unasked))) {
+        ask_about(job, step, needed, found, found.unasked);
         return;
     }
-    if (found.first_fit == 0 && any_room(found.refused)) {
+    if (found.preferred_fit == 0 && any_fit(found.refused)) {
         // A ticket for the second choices comes with the same answer.
-        std::vector<Prospect> both = found.allowed;
+        std::vector<WorkerCandidate> both = found.allowed;
         both.insert(both.end(), found.refused.begin(), found.refused.end());
-        ask_about_more(job, step, needed, found, both);
+        ask_about(job, step, needed, found, both);
         return;
     }
-    if (prepare_some(job, step, found, needed))
+    if (preempt_for_independent(job, step, found, needed))
         return;
     constexpr int spare = 2;
     size_t used = 0;
@@ -228,22 +232,22 @@
            && found.allowed[used].fit > 0)
         fit += found.allowed[used++].fit;
     found.allowed.resize(used);
-    ask(job, step, numbers(found.allowed));
+    ask(job, step, worker_numbers(found.allowed));
 }
 
 // The most urgent queue's questions are quick and always asked.
-bool Scheduler::advice_crowded(const JobRecord& job) const
+bool Scheduler::advice_queue_full(const JobRecord& job) const
 {
     const Queue& queue = job.accepted().queue;
     return queue.priority > 0
-        && m_parts.advice.waiting_of(queue.name) >= most_waiting_of_queue;
+        && m_context.advice.waiting_of(queue.name) >= most_waiting_of_queue;
 }
 
-void Scheduler::note_cost(const AdviceQuestion& question)
+void Scheduler::note_query_cost(const AdviceQuery& question)
 {
     const double cost = question.rule.decision_ms
         + question.rule.per_worker_ms * double(question.workers.size());
-    double& smoothed = m_question_ms.try_emplace(question.queue, cost).first->second;
+    double& smoothed = m_query_ms.try_emplace(question.queue, cost).first->second;
     smoothed += cost_learning * (cost - smoothed);
 }
 
@@ -254,38 +258,38 @@
         step.advice.retry_at = now + nobody_pause;
         return;
     }
-    if (now < step.advice.retry_at || advice_crowded(job))
+    if (now < step.advice.retry_at || advice_queue_full(job))
         return;
-    AdviceQuestion question;
+    AdviceQuery question;
     question.queue = job.accepted().queue.name;
     question.step = step.name(job.id());
     for (const WorkerNumber number : workers)
-        question.workers.push_back(m_numbered[number]->session->id());
+        question.workers.push_back(m_workers_by_number[number]->session->id());
     question.rule = *job.accepted().queue.advice;
     question.priority = job.accepted().queue.priority;
-    question.waits_since = step.idle_since;
+    question.waiting_since = step.idle_since;
     step.advice.asking = true;
-    note_cost(question);
+    note_query_cost(question);
     auto came
         = m_lifetime.wrap([this, id = job.id(), repeat = step.repeat, index = step.index,
                            asked = std::move(workers), now](const AdviceReply& reply) {
-              advice_came(id, repeat, index, asked, now, reply);
+              advice_received(id, repeat, index, asked, now, reply);
           });
-    m_parts.advice.ask(std::move(question), std::move(came));
+    m_context.advice.ask(std::move(question), std::move(came));
 }
 
 // Takes over an answer; returns whether it brought a verdict that wasn't known. An allowed
 // worker that it leaves out stays allowed, as a second choice: the advisor may not have
 // known it for a moment.
-bool Scheduler::take_answer(StepAdvice& advice, const std::vector<WorkerNumber>& asked,
-                            const std::vector<WorkerTicket>& tickets, Millis now,
-                            Millis expires)
+bool Scheduler::apply_advice(StepAdvice& advice, const std::vector<WorkerNumber>& asked,
+                             const std::vector<WorkerTicket>& tickets, Millis now,
+                             Millis expires)
 {
     bool fruitful = false;
     for (const WorkerNumber worker : asked) {
         const auto [entry, added] = advice.workers.try_emplace(worker);
         Permission& known = entry->second;
-        known.left_out = true;
+        known.no_ticket = true;
         known.ask_again_at = now + Millis(refusal_age.count() << known.refusals);
         known.refusals = std::min(known.refusals + 1, most_refusal_doublings);
         fruitful = fruitful || added;
@@ -308,38 +312,38 @@
     return fruitful;
 }
 
-void Scheduler::advice_came(const std::string& id, int repeat, int index,
-                            const std::vector<WorkerNumber>& asked, Millis asked_at,
-                            const AdviceReply& reply)
+void Scheduler::advice_received(const std::string& id, int repeat, int index,
+                                const std::vector<WorkerNumber>& asked, Millis asked_at,
+                                const AdviceReply& reply)
 {
     JobRecord* job = find_job(id);
     Step* step = job == nullptr ? nullptr : job->step(repeat, index);
     if (step == nullptr)
         return;
-    const Millis now = m_parts.loop.now();
+    const Millis now = m_context.loop.now();
     step->advice.asking = false;
-    step->kept_until
-        = std::min(step->kept_until, now + m_parts.bounds.kill_grace + kept_after_answer);
+    step->reserved_until = std::min(step->reserved_until,
+                                    now + m_context.bounds.kill_grace + kept_after_answer);
     if (!reply.tickets) {
         step->advice.retry_at = now + advice_retry;
         return;
     }
     const Millis valid(job->accepted().queue.advice->valid_ms);
-    const bool fruitful = take_answer(step->advice, asked, *reply.tickets, now,
-                                      now + valid - ticket_margin);
-    step->check_at = Millis(0);
+    const bool fruitful = apply_advice(step->advice, asked, *reply.tickets, now,
+                                       now + valid - ticket_margin);
+    step->next_placement_at = Millis(0);
     // Tickets that helped to place nothing are not asked for again at once.
     step->advice.retry_at = fruitful
         ? Millis(0)
-        : now + Millis(fruitless_pause.count() << step->advice.fruitless);
-    step->advice.fruitless
-        = fruitful ? 0 : std::min(step->advice.fruitless + 1, most_doublings);
+        : now + Millis(fruitless_pause.count() << step->advice.unhelpful_answers);
+    step->advice.unhelpful_answers
+        = fruitful ? 0 : std::min(step->advice.unhelpful_answers + 1, most_doublings);
     double& share = m_allowed_share[job->accepted().queue.name];
     const double seen = double(reply.tickets->size()) / double(asked.size());
     if (fruitful)
         share += share_learning * (seen - share);
-    m_parts.metrics.observe_seconds("pathport_advice_seconds",
-                                    double((now - asked_at).count()) / 1000);
+    m_context.metrics.observe_seconds("pathport_advice_seconds",
+                                      double((now - asked_at).count()) / 1000);
     log_event(LogLevel::debug, "advice",
               { { "job", id },
                 { "asked", static_cast<int64_t>(asked.size()) },
--- a/src/jobs.lib/scheduler_bounds.cpp
+++ b/src/jobs.lib/scheduler_bounds.cpp
@@ -48,9 +48,10 @@
 
 // Takes the bounds of the newest configuration: where it lowers one, the earlier one may
 // be in force elsewhere, and nothing is started in reliance on it.
-void Scheduler::take_bounds()
+void Scheduler::update_bounds()
 {
-    const auto configuration = m_parts.configuration ? m_parts.configuration() : nullptr;
+    const auto configuration
+        = m_context.configuration ? m_context.configuration() : nullptr;
     if (configuration == m_bounds_from)
         return;
     m_bounds_from = configuration;
@@ -66,32 +67,32 @@
 // come in the order of their acceptance, or nearly.
 bool Scheduler::is_beyond_share(const JobRecord& job)
 {
-    take_bounds();
+    update_bounds();
     const bool shares = m_bounds_from && m_bounds_from->workspaces
         && job.workspace != callers::UsageLedger::none;
     return shares
-        && !m_budgets[job.workspace].take(m_usage.weight_of(job.workspace),
-                                          job.accepted().accepted_ms);
+        && !m_budgets[job.workspace].try_consume(m_usage.weight_of(job.workspace),
+                                                 job.accepted().accepted_ms);
 }
 
 // Brings the ledger up to date for a pass.
 void Scheduler::count_usage()
 {
-    take_bounds();
-    m_usage.begin_round();
-    m_usage.clear_doubts();
+    update_bounds();
+    m_usage.clear_reservations();
+    m_usage.clear_in_doubt();
     if (!m_in_doubt.empty() || !m_unresolved.empty())
-        count_doubts();
+        count_in_doubt();
     else
-        m_closed_doubts.clear();
+        m_closed_in_doubt.clear();
 }
 
 // Tasks that earlier leaders recorded on workers which have not reported count as running.
 // So does all room of workers where earlier leaders may have started tasks without a
 // record.
-void Scheduler::count_doubts()
+void Scheduler::count_in_doubt()
 {
-    std::map<std::string, Occupant> closed;
+    std::map<std::string, Allocation> closed;
     for (const auto& [worker, tasks] : m_in_doubt) {
         for (const TaskId& id : tasks) {
             JobRecord* job = find_job(id.job);
@@ -99,16 +100,16 @@
             if (task != nullptr && task->phase == TaskPhase::in_doubt
                 && task->worker == worker) {
                 const Step& step = *job->step(id.repeat, id.step);
-                m_usage.add_doubt(job->workspace, step.spec->need);
+                m_usage.add_in_doubt(job->workspace, step.spec->need);
             }
-            const auto found = m_closed_doubts.find(id.to_string());
-            if (job == nullptr && found != m_closed_doubts.end())
+            const auto found = m_closed_in_doubt.find(id.to_string());
+            if (job == nullptr && found != m_closed_in_doubt.end())
                 closed.insert(*found);
         }
     }
-    m_closed_doubts = std::move(closed);
-    for (const auto& [name, occupant] : m_closed_doubts)
-        m_usage.add_doubt(occupant.workspace, occupant.charged);
+    m_closed_in_doubt = std::move(closed);
+    for (const auto& [name, occupant] : m_closed_in_doubt)
+        m_usage.add_in_doubt(occupant.workspace, occupant.charged);
     Resources all;
     Resources largest;
     for (const auto& [id, worker] : m_workers) {
@@ -122,13 +123,13 @@
         const Resources room = id == any_worker ? all
             : worker == nullptr                 ? largest
                                                 : worker->session->info().capacity;
-        m_usage.add_doubt(callers::UsageLedger::unknown, room);
+        m_usage.add_in_doubt(callers::UsageLedger::unknown, room);
     }
 }
 
 // The job is about to be forgotten; its tasks in doubt run on until their workers tell, or
 // their leases are over.
-void Scheduler::keep_doubtful_charges(const JobRecord& job)
+void Scheduler::keep_in_doubt_charges(const JobRecord& job)
 {
     if (m_in_doubt.empty())
         return;
@@ -138,10 +139,10 @@
                 if (step.tasks[i].phase != TaskPhase::in_doubt)
                     continue;
                 const TaskId id { job.id(), number, step.index, static_cast<int>(i) };
-                Occupant occupant;
+                Allocation occupant;
                 occupant.workspace = job.workspace;
                 occupant.charged = step.spec->need;
-                m_closed_doubts[id.to_string()] = occupant;
+                m_closed_in_doubt[id.to_string()] = occupant;
             }
         }
     }
@@ -149,7 +150,7 @@
 
 void Scheduler::discharge_all(const Worker& worker)
 {
-    for (const auto& [name, occupant] : worker.load.occupants())
+    for (const auto& [name, occupant] : worker.load.allocations())
         m_usage.discharge(occupant.workspace, occupant.charged);
 }
 
@@ -167,10 +168,10 @@
     const Resources& bound = m_usage.bound_of(job.workspace);
     const Resources doubled = m_usage.running(job.workspace) * 2;
     const bool half_used
-        = callers::tasks_within({ 1, 1, 1 }, bound - doubled, bound, 1) == 0;
+        = callers::tasks_that_fit({ 1, 1, 1 }, bound - doubled, bound, 1) == 0;
     const int lacking = step.spec->gang ? needed : needed - allowed;
     if (half_used)
-        m_usage.set_aside(job.workspace, need * lacking);
+        m_usage.reserve(job.workspace, need * lacking);
     return step.spec->gang ? 0 : allowed;
 }
 
--- a/src/jobs.lib/scheduler_parts.h
+++ b/src/jobs.lib/scheduler_context.h
@@ -24,7 +24,7 @@
 namespace pathport::jobs {
 
 /// What a scheduler works with; all of it outlives the scheduler.
-struct SchedulerParts {
+struct SchedulerContext {
     EventLoop& loop;
     JobStore& store;
     Directory& directory;
@@ -33,7 +33,7 @@
     std::function<int64_t()> wall_ms; ///< Time since 1970, for due times only.
     std::function<int64_t()> store_clock_ms; ///< The clock of acceptance times.
     Metrics& metrics;
-    WorkerBounds bounds;
+    WorkerTimeouts bounds;
     size_t archive_batch = 1; ///< As in NodeSetup.
     int64_t link_bytes = 0; ///< The same.
     Mechanisms mechanisms;
--- a/src/jobs.lib/scheduler_crashes.cpp
+++ b/src/jobs.lib/scheduler_crashes.cpp
@@ -42,7 +42,7 @@
 
 // Returns for how long the run is known to have been there; nothing if an earlier leader
 // started it.
-std::optional<Millis> Scheduler::lived(const Task& task)
+std::optional<Millis> Scheduler::known_runtime(const Task& task)
 {
     if (task.adopted || task.phase == TaskPhase::in_doubt)
         return std::nullopt;
@@ -54,7 +54,7 @@
 {
     const std::string& id = worker.session->id();
     std::vector<TaskId> tasks;
-    for (const auto& [name, occupant] : worker.load.occupants()) {
+    for (const auto& [name, occupant] : worker.load.allocations()) {
         if (const auto task = TaskId::parse(name))
             tasks.push_back(*task);
     }
@@ -68,30 +68,30 @@
         const bool there = task != nullptr && task->placed() && task->worker == id
             && task->phase != TaskPhase::intended;
         if (there)
-            found.push_back({ name, task->run, lived(*task) });
+            found.push_back({ name, task->run, known_runtime(*task) });
     }
     return found;
 }
 
 // Returns whether none of another job that was lost with it may have been the cause as
 // well.
-bool Scheduler::lost_alone(const LostRun& run, const std::vector<LostRun>& lost)
+bool Scheduler::is_sole_suspect(const LostRun& run, const std::vector<LostRun>& lost)
 {
     return std::none_of(lost.begin(), lost.end(), [&](const LostRun& other) {
         JobRecord* job
             = other.task.job == run.task.job ? nullptr : find_job(other.task.job);
         const Task* task = job == nullptr ? nullptr : job->task(other.task);
         return task != nullptr
-            && (other.lived.value_or(unknown_life) < fresh_run
+            && (other.known_runtime.value_or(unknown_runtime) < startup_window
                 || task->crashes.suspicion() != Suspicion::none);
     });
 }
 
 // Returns whether it was the task, if nothing else could have done it the last time: it was
 // suspected before, and it has happened often enough.
-bool Scheduler::is_proven(const CrashRecord& before, const CrashRecord& after)
+bool Scheduler::is_confirmed(const CrashRecord& before, const CrashRecord& after)
 {
-    const size_t enough = after.lives_alike() ? lost_alike : lost_when_alone;
+    const size_t enough = after.has_similar_runtimes() ? lost_alike : lost_when_alone;
     return before.suspicion() == Suspicion::likely && after.size() >= enough;
 }
 
@@ -109,10 +109,10 @@
 }
 
 // No task on trial explains the loss of the worker.
-void Scheduler::note_unexplained(const std::string& worker)
+void Scheduler::note_unattributed_loss(const std::string& worker)
 {
-    const Millis now = m_parts.loop.now();
-    auto& losses = m_unexplained_losses;
+    const Millis now = m_context.loop.now();
+    auto& losses = m_unattributed_losses;
     for (auto entry = losses.begin(); entry != losses.end();)
         entry = now - entry->second > loss_remembered ? losses.erase(entry)
                                                       : std::next(entry);
@@ -121,10 +121,10 @@
 
 // Returns whether several others were lost at about the same time, and not for what was on
 // trial there: then the cause may lie outside of all of them.
-bool Scheduler::others_fell(Millis at) const
+bool Scheduler::has_correlated_losses(Millis at) const
 {
     const auto others = std::count_if(
-        m_unexplained_losses.begin(), m_unexplained_losses.end(), [&](const auto& entry) {
+        m_unattributed_losses.begin(), m_unattributed_losses.end(), [&](const auto& entry) {
             return at - entry.second < same_cause && entry.second - at < same_cause;
         });
     return others >= others_of_same_cause;
@@ -132,34 +132,35 @@
 
 // The task waits until it is known whether others fall at the same time: what takes a rack
 // or all workers tells against no task.
-void Scheduler::judge_soon(const TaskId& id, Task& task)
+void Scheduler::schedule_verdict(const TaskId& id, Task& task)
 {
-    const Millis lost_at = m_parts.loop.now();
-    task.judged_at = lost_at + same_cause;
-    m_parts.loop.after(same_cause, m_lifetime.wrap([this, id, lost_at] {
+    const Millis lost_at = m_context.loop.now();
+    task.verdict_at = lost_at + same_cause;
+    m_context.loop.after(same_cause, m_lifetime.wrap([this, id, lost_at] {
         JobRecord* job = find_job(id.job);
         const Task* judged = job == nullptr ? nullptr : job->task(id);
         if (judged == nullptr || job->closed() || judged->phase != TaskPhase::waiting)
             return;
-        if (!others_fell(lost_at))
+        if (!has_correlated_losses(lost_at))
             give_up(*job, id, "crashes_its_workers");
         schedule_pass();
     }));
 }
 
 // Remembers the loss of a worker with the tasks that were there.
-void Scheduler::hold_against(const std::vector<LostRun>& lost, const std::string& worker,
-                             const char* reason, Loss loss)
+void Scheduler::attribute_loss(const std::vector<LostRun>& lost, const std::string& worker,
+                               const char* reason, Loss loss)
 {
     const Suspicion worst = worst_suspicion(lost);
     if (worst != Suspicion::likely)
-        note_unexplained(worker);
+        note_unattributed_loss(worker);
     // The entry of a lost worker may linger, and is found to be over again and again.
     if (!lost.empty())
-        m_parts.metrics.count("pathport_workers_lost_total", { { "reason", reason } });
+        m_context.metrics.count("pathport_workers_lost_total", { { "reason", reason } });
     std::vector<bool> alone;
     for (const LostRun& run : lost)
-        alone.push_back(loss == Loss::crash && run.lived && lost_alone(run, lost));
+        alone.push_back(loss == Loss::crash && run.known_runtime
+                        && is_sole_suspect(run, lost));
     std::set<std::string> changed;
     for (size_t i = 0; i < lost.size(); ++i) {
         const LostRun& run = lost[i];
@@ -170,10 +171,10 @@
                         { "run", run.run },
                         { "worker", worker },
                         { "reason", reason },
-                        { "lived_ms", run.lived ? run.lived->count() : -1 },
+                        { "lived_ms", run.known_runtime ? run.known_runtime->count() : -1 },
                         { "alone", alone[i] ? "yes" : "no" },
                         { "suspect_there", to_string(worst) } });
-        if (hold_against(run, alone[i], worst))
+        if (attribute_loss(run, alone[i], worst))
             changed.insert(run.task.job);
     }
     for (const std::string& id : changed) {
@@ -185,21 +186,21 @@
 
 // Remembers it with one of them. `worst` is what spoke against any of them before. Returns
 // whether it is news, which the next leader has to know.
-bool Scheduler::hold_against(const LostRun& run, bool alone, Suspicion worst)
+bool Scheduler::attribute_loss(const LostRun& run, bool alone, Suspicion worst)
 {
     JobRecord* job = find_job(run.task.job);
     Task* task = job == nullptr ? nullptr : job->task(run.task);
     if (task == nullptr || job->closed() || task->phase == TaskPhase::done)
         return false;
     const CrashRecord before = task->crashes;
-    const Millis life = run.lived.value_or(unknown_life);
+    const Millis life = run.known_runtime.value_or(unknown_runtime);
     const bool explained
         = before.suspicion() == Suspicion::none && worst != Suspicion::none;
     if (!task->crashes.add({ run.run, life.count(), explained }))
         return false;
     job->step(run.task.repeat, run.task.step)->has_crashes = true;
-    if (alone && is_proven(before, task->crashes))
-        judge_soon(run.task, *task);
+    if (alone && is_confirmed(before, task->crashes))
+        schedule_verdict(run.task, *task);
     const Suspicion suspicion = task->crashes.suspicion();
     if (suspicion == before.suspicion())
         return true;
@@ -221,17 +222,17 @@
                 { "reason", reason },
                 { "workers_lost", static_cast<int64_t>(crashes.size()) },
                 { "tries", crashes.tries() } });
-    m_parts.metrics.count("pathport_tasks_given_up_total", { { "reason", reason } });
-    job.gave_up = true;
+    m_context.metrics.count("pathport_tasks_given_up_total", { { "reason", reason } });
+    job.retries_exhausted = true;
     close_if_final(job);
 }
 
 // Returns whether a task of the step is not to be started any more, and its job has failed.
-bool Scheduler::give_up_spent(JobRecord& job, Step& step)
+bool Scheduler::give_up_exhausted(JobRecord& job, Step& step)
 {
     for (size_t i = 0; i < step.tasks.size(); ++i) {
         const Task& task = step.tasks[i];
-        if (task.phase != TaskPhase::waiting || !task.crashes.spent())
+        if (task.phase != TaskPhase::waiting || !task.crashes.tries_exhausted())
             continue;
         give_up(job, { job.id(), step.repeat, step.index, static_cast<int>(i) },
                 "not_cleared");
@@ -242,10 +243,10 @@
 
 // The lease of all that was there is over. A worker that the list still names, or names
 // again, was cut off; one that it has dropped is taken for lost.
-void Scheduler::hold_lapsed(const std::string& worker, std::vector<LostRun> lost,
-                            bool listed, Loss loss)
+void Scheduler::note_lapsed_runs(const std::string& worker, std::vector<LostRun> lost,
+                                 bool listed, Loss loss)
 {
-    const Millis now = m_parts.loop.now();
+    const Millis now = m_context.loop.now();
     for (auto entry = m_lapsed_runs.begin(); entry != m_lapsed_runs.end();) {
         const bool old = now - entry->second.at > lapsed_remembered;
         entry = old ? m_lapsed_runs.erase(entry) : std::next(entry);
@@ -254,29 +255,29 @@
         return;
     m_lapsed_runs[worker] = { std::move(lost), loss, false, now };
     if (!listed)
-        settle_lapsed(worker);
+        attribute_lapsed_runs(worker);
 }
 
 // A worker whose lease had lapsed is lost.
-void Scheduler::settle_lapsed(const std::string& worker)
+void Scheduler::attribute_lapsed_runs(const std::string& worker)
 {
     const auto found = m_lapsed_runs.find(worker);
-    if (found == m_lapsed_runs.end() || found->second.held)
+    if (found == m_lapsed_runs.end() || found->second.attributed)
         return;
-    found->second.held = true;
-    hold_against(found->second.runs, worker, "lapsed", found->second.loss);
+    found->second.attributed = true;
+    attribute_loss(found->second.runs, worker, "lapsed", found->second.loss);
 }
 
 // A worker whose lease had lapsed answers again: it was cut off.
-void Scheduler::take_back_lapsed(const std::string& worker)
+void Scheduler::retract_lapsed_loss(const std::string& worker)
 {
     const auto found = m_lapsed_runs.find(worker);
     if (found == m_lapsed_runs.end())
         return;
     for (const LostRun& run : found->second.runs) {
-        JobRecord* job = found->second.held ? find_job(run.task.job) : nullptr;
+        JobRecord* job = found->second.attributed ? find_job(run.task.job) : nullptr;
         Task* task = job == nullptr ? nullptr : job->task(run.task);
-        if (task != nullptr && task->crashes.take_back(run.run))
+        if (task != nullptr && task->crashes.retract(run.run))
             log_event(LogLevel::info, "task_loss_taken_back",
                       { { "job", run.task.job },
                         { "task", run.task.to_string() },
@@ -286,15 +287,15 @@
 }
 
 // The worker has just listed the task.
-void Scheduler::clear_if_outlived(const TaskId& id, Task& task)
+void Scheduler::clear_if_survived(const TaskId& id, Task& task)
 {
-    const Millis life = m_parts.loop.now() - task.ordered_at;
+    const Millis life = m_context.loop.now() - task.ordered_at;
     Step& step = *find_job(id.job)->step(id.repeat, id.step);
-    step.has_survivor = step.has_survivor || life > fresh_run;
+    step.has_survivor = step.has_survivor || life > startup_window;
     if (task.crashes.empty())
         return;
-    Millis clearing = task.crashes.clearing_life();
-    if (step.spec->lasting)
+    Millis clearing = task.crashes.clearing_runtime();
+    if (step.spec->long_running)
         clearing = std::min(clearing, longest_clearing_life);
     if (life <= clearing)
         return;
--- a/src/jobs.lib/scheduler_gangs.cpp
+++ b/src/jobs.lib/scheduler_gangs.cpp
@@ -34,39 +34,39 @@
 void Scheduler::reserve(Worker& worker, const Step& step)
 {
     if (uses(Mechanism::reservations))
-        m_rooms.keep(worker.number, step);
+        m_capacity_table.keep(worker.number, step);
 }
 
 // Begins a pass: a gang that waits for tickets or for tasks to end keeps the workers that
 // it chose, also from more urgent gangs, since all that it waits for would be in vain
 // otherwise.
-void Scheduler::renew_reservations(const std::vector<Candidate>& waiting)
+void Scheduler::renew_reservations(const std::vector<PendingStep>& waiting)
 {
     m_gangs_prepared = 0;
-    m_rooms.release_kept();
+    m_capacity_table.release_kept();
     const Millis now = m_pass_begun;
-    for (const Candidate& candidate : waiting) {
+    for (const PendingStep& candidate : waiting) {
         Step& step = *candidate.step;
-        if (now >= step.kept_until)
-            step.kept_workers.clear();
-        for (const WorkerNumber number : step.kept_workers) {
-            if (m_numbered[number] != nullptr)
-                reserve(*m_numbered[number], step);
+        if (now >= step.reserved_until)
+            step.reserved_workers.clear();
+        for (const WorkerNumber number : step.reserved_workers) {
+            if (m_workers_by_number[number] != nullptr)
+                reserve(*m_workers_by_number[number], step);
         }
     }
 }
 
 // A ticket that holds for so long outlasts the end of the tasks that give way.
-Millis Scheduler::ticket_reserve() const
+Millis Scheduler::min_ticket_lifetime() const
 {
-    return m_parts.bounds.kill_grace + record_and_order;
+    return m_context.bounds.kill_grace + max_start_latency;
 }
 
 // Keeps workers for the step over the passes to come.
-void Scheduler::keep(Step& step, const std::vector<Prospect>& workers, Millis span)
+void Scheduler::keep(Step& step, const std::vector<WorkerCandidate>& workers, Millis span)
 {
-    step.kept_workers = numbers(workers);
-    step.kept_until = m_pass_begun + span;
+    step.reserved_workers = worker_numbers(workers);
+    step.reserved_until = m_pass_begun + span;
 }
 
 // A gang waits for room, tickets or verdicts. Verdicts are asked for at once. Workers that
@@ -80,51 +80,51 @@
     const bool first_question = advised && step.advice.workers.empty();
     if (!first_question && ++m_gangs_prepared > most_gangs_prepared)
         return;
-    Prospects found = prospects(job, step, needed);
+    WorkerCandidates found = worker_candidates(job, step, needed);
     const bool room_now = found.fit >= needed;
     const bool waited_long = m_pass_begun - step.advice.verdicts_at > verdicts_patience;
     const bool lacks_verdicts
-        = !found.unasked.empty() && (found.later_fit < needed || waited_long);
+        = !found.unasked.empty() && (found.potential_fit < needed || waited_long);
     if (!room_now && advised && (first_question || lacks_verdicts)) {
-        ask_about_more(job, step, needed, found, found.unasked);
+        ask_about(job, step, needed, found, found.unasked);
         return;
     }
     // It has room, but for verdicts that may have changed.
     const bool refused_would_do = found.fit + found.refused_fit >= needed;
-    if (advised && found.later_fit < needed && refused_would_do) {
-        ask_about_more(job, step, needed, found, found.refused);
+    if (advised && found.potential_fit < needed && refused_would_do) {
+        ask_about(job, step, needed, found, found.refused);
         return;
     }
     // If all that it may use is not enough, keeping workers free would help nobody.
-    if (found.later_fit < needed) {
+    if (found.potential_fit < needed) {
         step.advice.retry_at = m_pass_begun + hopeless_pause;
         return;
     }
     const bool chosen = choose_for_gang(step, found.allowed, needed, room_now);
-    if (!room_now && !(chosen && make_room(job, step, found.allowed, needed))) {
+    if (!room_now && !(chosen && preempt_for(job, step, found.allowed, needed))) {
         keep(step, found.allowed, kept_until_next_look);
         return;
     }
     if (!advised || tickets_last(step, found.allowed)) {
-        keep(step, found.allowed, ticket_reserve());
+        keep(step, found.allowed, min_ticket_lifetime());
         return;
     }
-    ask(job, step, numbers(found.allowed));
+    ask(job, step, worker_numbers(found.allowed));
     if (step.advice.asking)
-        keep(step, found.allowed, longest_question);
+        keep(step, found.allowed, max_advice_wait);
 }
 
 // Keeps workers free for the gang, those with the most room first, and leaves only them in
 // `allowed`. Returns whether they suffice.
-bool Scheduler::choose_for_gang(const Step& step, std::vector<Prospect>& allowed,
+bool Scheduler::choose_for_gang(const Step& step, std::vector<WorkerCandidate>& allowed,
                                 int needed, bool room_now)
 {
     const size_t most_reserved = std::max<size_t>(1, m_workers.size() / reserved_fraction);
     size_t used = 0;
     int kept = 0;
     while (used < allowed.size() && kept < needed
-           && (room_now || m_rooms.kept_count() < most_reserved)) {
-        kept += room_now ? allowed[used].fit : allowed[used].later_fit;
+           && (room_now || m_capacity_table.kept_count() < most_reserved)) {
+        kept += room_now ? allowed[used].fit : allowed[used].potential_fit;
         reserve(*allowed[used++].worker, step);
     }
     allowed.resize(used);
@@ -133,13 +133,15 @@
 
 // Returns whether the tickets for all these workers hold until less urgent tasks have
 // ended.
-bool Scheduler::tickets_last(const Step& step, const std::vector<Prospect>& workers) const
+bool Scheduler::tickets_last(const Step& step,
+                             const std::vector<WorkerCandidate>& workers) const
 {
-    const Millis until = m_pass_begun + ticket_reserve();
-    return std::all_of(workers.begin(), workers.end(), [&](const Prospect& prospect) {
-        const auto known = step.advice.workers.find(prospect.worker->number);
-        return known != step.advice.workers.end() && known->second.holds(until);
-    });
+    const Millis until = m_pass_begun + min_ticket_lifetime();
+    return std::all_of(
+        workers.begin(), workers.end(), [&](const WorkerCandidate& prospect) {
+            const auto known = step.advice.workers.find(prospect.worker->number);
+            return known != step.advice.workers.end() && known->second.holds(until);
+        });
 }
 
 } // namespace pathport::jobs
--- a/src/jobs.lib/scheduler_jobs.cpp
+++ b/src/jobs.lib/scheduler_jobs.cpp
@@ -62,9 +62,9 @@
                 { "version", version },
                 { "stretch_percent", static_cast<int64_t>(accepted.queue.stretch * 100) },
                 { "slo_ms", accepted.queue.slo_ms } });
-    add_job(std::make_unique<JobRecord>(accepted, m_parts.loop.now()));
-    join_stray_runs(*m_jobs[accepted.id]);
-    take_kept_ends(accepted.id);
+    add_job(std::make_unique<JobRecord>(accepted, m_context.loop.now()));
+    attach_stray_runs(*m_jobs[accepted.id]);
+    apply_deferred_ends(accepted.id);
     schedule_pass();
 }
 
@@ -86,14 +86,14 @@
     log_event(LogLevel::info, "job_canceled",
               { { "job", id },
                 { "source", source },
-                { "feed_age_ms", (m_parts.loop.now() - m_feed.known_at()).count() } });
+                { "feed_age_ms", (m_context.loop.now() - m_feed.known_at()).count() } });
     close_if_final(*job);
 }
 
 void Scheduler::begin_due_repeats(JobRecord& job)
 {
     for (auto due = job.next_due(); due; due = job.next_due()) {
-        if (job.accepted().spec.timed() && *due > m_parts.wall_ms())
+        if (job.accepted().spec.has_schedule() && *due > m_context.wall_ms())
             return;
         job.begin_repeat();
         schedule_pass();
@@ -155,14 +155,14 @@
               { { "job", id },
                 { "queue", job->accepted().queue.name },
                 { "state", to_string(job->state()) },
-                { "after_ms", (m_parts.loop.now() - job->seen()).count() } });
-    m_parts.metrics.observe_seconds(
-        "pathport_job_seconds", double((m_parts.loop.now() - job->seen()).count()) / 1000,
+                { "after_ms", (m_context.loop.now() - job->seen()).count() } });
+    m_context.metrics.observe_seconds(
+        "pathport_job_seconds", double((m_context.loop.now() - job->seen()).count()) / 1000,
         { { "state", to_string(job->state()) } });
     m_closed[id] = { job->state(), job->accepted().workspace };
-    keep_doubtful_charges(*job);
+    keep_in_doubt_charges(*job);
     m_jobs.erase(id);
-    m_to_archive[job_part(id)].push_back(id);
+    m_to_archive[job_partition(id)].push_back(id);
 }
 
 // The row of a closed job gives way to a small one in another table, so that a take-over
@@ -170,13 +170,13 @@
 // write that is lost does no harm: the job is archived by the next leader.
 void Scheduler::archive_closed()
 {
-    const Millis now = m_parts.loop.now();
+    const Millis now = m_context.loop.now();
     if (now - m_archive_tried < archive_interval || !m_log.served()
-        || m_log.orders_precede() || !uses(Mechanism::archive))
+        || m_log.allows_early_orders() || !uses(Mechanism::archive))
         return;
     m_archive_tried = now;
     for (auto& [part, ids] : m_to_archive) {
-        if (ids.size() < m_parts.archive_batch)
+        if (ids.size() < m_context.archive_batch)
             continue;
         StoreWrite write;
         std::vector<std::string> taken;
@@ -191,11 +191,11 @@
             taken.push_back(id);
             ids.pop_back();
         }
-        m_parts.store.write(write, archive_timeout,
-                            m_lifetime.wrap([this, taken](const StoreResult& result) {
-                                if (result.status == StoreStatus::ok)
-                                    archived(taken);
-                            }));
+        m_context.store.write(write, archive_timeout,
+                              m_lifetime.wrap([this, taken](const StoreResult& result) {
+                                  if (result.status == StoreStatus::ok)
+                                      archived(taken);
+                              }));
     }
 }
 
--- a/src/jobs.lib/scheduler_load.cpp
+++ b/src/jobs.lib/scheduler_load.cpp
@@ -42,13 +42,13 @@
     log_event(LogLevel::info, "takeover_begun",
               { { "epoch", m_claim.head.epoch }, { "head_version", m_claim.version } });
     m_loading = 2;
-    m_load_begun = m_parts.loop.now();
+    m_load_begun = m_context.loop.now();
     m_progress_reader.read(
-        progress_table, { scheduler_part },
+        progress_table, { scheduler_partition },
         [this](std::vector<StoredRow> rows) { append(m_loaded_progress, std::move(rows)); },
         [this](int64_t) { loaded_table(); });
     m_job_reader.read(
-        jobs_table, job_part_names(),
+        jobs_table, job_partition_names(),
         [this](std::vector<StoredRow> rows) { append(m_loaded_jobs, std::move(rows)); },
         [this](int64_t version) {
             m_jobs_version = version;
@@ -60,9 +60,9 @@
 
 void Scheduler::observe_phase(const char* phase)
 {
-    const Millis span = m_parts.loop.now() - m_claim.claimed;
-    m_parts.metrics.observe_seconds("pathport_takeover_seconds",
-                                    double(span.count()) / 1000, { { "phase", phase } });
+    const Millis span = m_context.loop.now() - m_claim.claimed;
+    m_context.metrics.observe_seconds("pathport_takeover_seconds",
+                                      double(span.count()) / 1000, { { "phase", phase } });
 }
 
 void Scheduler::loaded_table()
@@ -70,22 +70,22 @@
     if (--m_loading > 0 || m_phase != Phase::loading)
         return;
     build_records();
-    m_phase = Phase::settling;
+    m_phase = Phase::awaiting_reports;
     observe_phase("loaded");
-    m_settle_by = m_parts.loop.now() + settle_time;
+    m_activate_by = m_context.loop.now() + settle_time;
     log_event(LogLevel::info, "takeover_loaded",
               { { "epoch", m_claim.head.epoch },
                 { "open_jobs", static_cast<int64_t>(m_jobs.size()) },
                 { "closed_jobs", static_cast<int64_t>(m_closed.size()) },
                 { "unrecorded_workers", static_cast<int64_t>(m_unresolved.size()) },
-                { "after_ms", (m_parts.loop.now() - m_claim.claimed).count() } });
+                { "after_ms", (m_context.loop.now() - m_claim.claimed).count() } });
     for (auto& [id, worker] : m_workers) {
-        inherit(id);
-        worker.session->begin();
+        inherit_from_previous(id);
+        worker.session->start_polling();
     }
-    m_parts.loop.after(settle_time, m_lifetime.wrap([this] { settle(); }));
+    m_context.loop.after(settle_time, m_lifetime.wrap([this] { activate_when_ready(); }));
     m_feed.begin(m_jobs_version, m_load_begun);
-    settle();
+    activate_when_ready();
 }
 
 void Scheduler::build_records()
@@ -110,7 +110,7 @@
             : final_state_of_progress(*found->second);
         if (final_state) {
             m_closed[id] = { *final_state, workspace_of_job_row(row.value) };
-            m_to_archive[job_part(id)].push_back(id);
+            m_to_archive[job_partition(id)].push_back(id);
             progress.erase(found);
             continue;
         }
@@ -121,12 +121,12 @@
                       { { "job", id }, { "reason", reason.detail() } });
             continue;
         }
-        auto job = std::make_unique<JobRecord>(std::move(*accepted), m_parts.loop.now());
+        auto job = std::make_unique<JobRecord>(std::move(*accepted), m_context.loop.now());
         if (found != progress.end()) {
             if (!job->apply_progress(*found->second))
                 log_event(LogLevel::error, "progress_row_malformed", { { "job", id } });
             progress.erase(found);
-            note_doubts(*job);
+            note_in_doubt(*job);
         }
         job->canceled = canceled.count(id) > 0;
         job->loaded = true;
@@ -158,15 +158,15 @@
 
 void Scheduler::read_workers()
 {
-    if (m_phase == Phase::over || m_reading_workers)
+    if (m_phase == Phase::terminated || m_reading_workers)
         return;
     m_reading_workers = true;
-    const Millis begun = m_parts.loop.now();
-    m_parts.directory.read_workers(read_timeout,
-                                   m_lifetime.wrap([this, begun](const WorkerList& answer) {
-                                       m_reading_workers = false;
-                                       workers_read(answer, begun);
-                                   }));
+    const Millis begun = m_context.loop.now();
+    m_context.directory.read_workers(
+        read_timeout, m_lifetime.wrap([this, begun](const WorkerList& answer) {
+            m_reading_workers = false;
+            workers_read(answer, begun);
+        }));
 }
 
 // A worker that announces its end must not get a task later than a known time after that,
@@ -175,54 +175,55 @@
 // that is short of processor time, can make it older than that.
 bool Scheduler::list_is_fresh() const
 {
-    return m_parts.loop.now() - m_workers_as_of < m_parts.bounds.drain - start_time;
+    return m_context.loop.now() - m_workers_as_of
+        < m_context.bounds.drain_margin - start_time;
 }
 
 void Scheduler::workers_read(const WorkerList& answer, Millis begun)
 {
-    if (m_phase == Phase::over)
+    if (m_phase == Phase::terminated)
         return;
     const bool good = answer.status == StoreStatus::ok && answer.value;
     if (good) {
         m_workers_as_of = begun;
-        m_stale_list_told = false;
-        take_workers(*answer.value);
+        m_stale_list_logged = false;
+        update_workers(*answer.value);
         m_workers_known = true;
-        settle();
+        activate_when_ready();
     }
-    const Millis heeded = m_parts.bounds.drain - start_time;
+    const Millis heeded = m_context.bounds.drain_margin - start_time;
     const Millis interval
         = std::min(workers_interval, Millis(heeded.count() / reads_of_list));
-    const Millis took = m_parts.loop.now() - begun;
-    m_parts.loop.after(good ? std::max(Millis(0), interval - took) : workers_retry,
-                       m_lifetime.wrap([this] { read_workers(); }));
+    const Millis took = m_context.loop.now() - begun;
+    m_context.loop.after(good ? std::max(Millis(0), interval - took) : workers_retry,
+                         m_lifetime.wrap([this] { read_workers(); }));
 }
 
 // A service that the configuration dropped may still have jobs.
 bool Scheduler::is_used(const std::string& service) const
 {
-    return !m_parts.knows_service || m_parts.knows_service(service)
+    return !m_context.knows_service || m_context.knows_service(service)
         || std::any_of(m_jobs.begin(), m_jobs.end(), [&](const auto& entry) {
                return entry.second->accepted().queue.service == service;
            });
 }
 
-void Scheduler::settle()
+void Scheduler::activate_when_ready()
 {
-    if (m_phase != Phase::settling || !m_workers_known)
+    if (m_phase != Phase::awaiting_reports || !m_workers_known)
         return;
     size_t fenced = 0;
     for (const auto& [id, worker] : m_workers)
         fenced += worker.session->fenced() ? 1 : 0;
-    if (fenced < m_workers.size() && m_parts.loop.now() < m_settle_by)
+    if (fenced < m_workers.size() && m_context.loop.now() < m_activate_by)
         return;
-    m_phase = Phase::acting;
+    m_phase = Phase::scheduling;
     observe_phase("acting");
     log_event(LogLevel::info, "takeover_done",
               { { "epoch", m_claim.head.epoch },
                 { "workers", static_cast<int64_t>(m_workers.size()) },
                 { "silent_workers", static_cast<int64_t>(m_workers.size() - fenced) },
-                { "after_ms", (m_parts.loop.now() - m_claim.claimed).count() } });
+                { "after_ms", (m_context.loop.now() - m_claim.claimed).count() } });
     schedule_pass();
 }
 
@@ -249,11 +250,11 @@
 // Of a job that an earlier leader knew, a task may run without a record on a worker that is
 // silent to us. An earlier leader that isn't aware of this one hears of new jobs as well,
 // as long as its lease lasts; what counts is when they came, not when they are known here.
-bool Scheduler::holds_back(const JobRecord& job) const
+bool Scheduler::awaits_unrecorded_runs(const JobRecord& job) const
 {
     if (m_unresolved.empty())
         return false;
-    return job.loaded || job.accepted().accepted_ms < m_leases_over_ms;
+    return job.loaded || job.accepted().accepted_ms < m_earlier_leaders_until_ms;
 }
 
 // What runs on the worker is known now, or nothing does.
@@ -263,24 +264,24 @@
         return;
     log_event(LogLevel::info, "unrecorded_tasks_known",
               { { "epoch", m_claim.head.epoch },
-                { "after_ms", (m_parts.loop.now() - m_claim.claimed).count() } });
+                { "after_ms", (m_context.loop.now() - m_claim.claimed).count() } });
     schedule_pass();
 }
 
 // What an earlier leader intended for workers that are not listed has ended by now.
-void Scheduler::release_unknown_doubts()
+void Scheduler::release_expired_doubts()
 {
-    const Millis now = m_parts.loop.now();
+    const Millis now = m_context.loop.now();
     const std::set<std::string> unresolved = m_unresolved;
     for (const std::string& worker : unresolved) {
         // Of a listed worker its session tells sooner.
         const bool listed = m_workers.count(worker) > 0;
-        if (now >= (listed ? m_unknown_until : unknown_until(worker)))
+        if (now >= (listed ? m_earlier_leases_until : earlier_leases_until(worker)))
             resolve_unrecorded(worker);
     }
     for (auto doubts = m_in_doubt.begin(); doubts != m_in_doubt.end();) {
-        if (m_workers.count(doubts->first) > 0 || now < unknown_until(doubts->first)
-            || now < strays_until(doubts->first)) {
+        if (m_workers.count(doubts->first) > 0 || now < earlier_leases_until(doubts->first)
+            || now < unconfirmed_until(doubts->first)) {
             ++doubts;
             continue;
         }
@@ -293,17 +294,17 @@
                 && task->worker == worker)
                 lost.push_back({ id, task->run, std::nullopt });
         }
-        release_doubts(worker, doubts->second);
-        m_strays_until.erase(worker);
+        release_in_doubt(worker, doubts->second);
+        m_unconfirmed_until.erase(worker);
         doubts = m_in_doubt.erase(doubts);
-        hold_lapsed(worker, std::move(lost), false, Loss::silence);
+        note_lapsed_runs(worker, std::move(lost), false, Loss::silence);
         schedule_pass();
     }
 }
 
 // A thousand workers report at a take-over; each then finds its tasks without a walk over
 // all jobs.
-void Scheduler::note_doubts(const JobRecord& job)
+void Scheduler::note_in_doubt(const JobRecord& job)
 {
     for (const auto& [number, repeat] : job.repeats()) {
         for (const Step& step : repeat.steps) {
--- a/src/jobs.lib/scheduler_pass.cpp
+++ b/src/jobs.lib/scheduler_pass.cpp
@@ -48,13 +48,13 @@
 
 void Scheduler::schedule_pass()
 {
-    if (m_pass_due || m_phase != Phase::acting)
+    if (m_pass_due || m_phase != Phase::scheduling)
         return;
     m_pass_due = true;
-    const Millis since = m_parts.loop.now() - m_pass_begun;
+    const Millis since = m_context.loop.now() - m_pass_begun;
     const Millis pause = std::min(longest_pass_pause,
                                   Millis(m_last_pass_time.count() * pass_part) - since);
-    m_parts.loop.after(std::max(pass_delay, pause), m_lifetime.wrap([this] {
+    m_context.loop.after(std::max(pass_delay, pause), m_lifetime.wrap([this] {
         m_pass_due = false;
         pass();
     }));
@@ -62,42 +62,43 @@
 
 void Scheduler::pass()
 {
-    if (m_phase != Phase::acting || !may_order())
+    if (m_phase != Phase::scheduling || !orders_allowed())
         return;
     // After a pause of this process, cancellations are read before anything is started.
-    if (m_parts.loop.now() - m_feed.known_at() > stale_jobs) {
+    if (m_context.loop.now() - m_feed.known_at() > stale_jobs) {
         m_feed.poll_now();
         return;
     }
     if (!list_is_fresh()) {
-        if (!m_stale_list_told)
+        if (!m_stale_list_logged)
             log_event(LogLevel::warn, "worker_list_stale",
-                      { { "age_ms", (m_parts.loop.now() - m_workers_as_of).count() } });
-        m_stale_list_told = true;
+                      { { "age_ms", (m_context.loop.now() - m_workers_as_of).count() } });
+        m_stale_list_logged = true;
         return; // The list's next reading causes a pass.
     }
-    const Millis begun = m_parts.loop.now();
+    const Millis begun = m_context.loop.now();
     m_pass_begun = begun;
     refresh_rows();
     count_usage();
-    std::vector<Candidate> waiting = candidates();
+    std::vector<PendingStep> waiting = pending_steps();
     m_steps_waiting = waiting.size();
     renew_reservations(waiting);
     // Less urgent steps that were looked at just now are in one of the passes to come.
     const auto due
         = std::stable_partition(waiting.begin(), waiting.end(), [begun](const auto& entry) {
-              return begun >= entry.step->check_at;
+              return begun >= entry.step->next_placement_at;
           });
     const bool put_off = due != waiting.end();
     waiting.erase(due, waiting.end());
     const size_t urgent = place_until(waiting, 0, begun + urgent_part);
     std::stable_sort(waiting.begin() + static_cast<std::ptrdiff_t>(urgent), waiting.end(),
-                     [](const Candidate& left, const Candidate& right) {
-                         return left.step->looked_at < right.step->looked_at;
+                     [](const PendingStep& left, const PendingStep& right) {
+                         return left.step->placement_tried_at
+                             < right.step->placement_tried_at;
                      });
     const size_t seen = place_until(waiting, urgent, begun + longest_pass);
     const bool cut_short = seen < waiting.size();
-    m_last_pass_time = m_parts.loop.now() - begun;
+    m_last_pass_time = m_context.loop.now() - begun;
     ++m_load_counts.passes;
     m_load_counts.pass_time = m_load_counts.pass_time + m_last_pass_time;
     m_load_counts.cut_passes += cut_short ? 1 : 0;
@@ -105,61 +106,61 @@
     if (cut_short)
         schedule_pass();
     if (put_off)
-        check_again_soon();
+        schedule_recheck();
 }
 
 // Places candidates from `first` on until the time is over. Returns the first one that it
 // did not look at.
-size_t Scheduler::place_until(const std::vector<Candidate>& waiting, size_t first,
+size_t Scheduler::place_until(const std::vector<PendingStep>& waiting, size_t first,
                               Millis end)
 {
     size_t next = first;
     while (next < waiting.size()) {
-        waiting[next].step->looked_at = m_pass_begun;
+        waiting[next].step->placement_tried_at = m_pass_begun;
         place(waiting[next]);
         ++next;
         // Reading the clock costs more than many a candidate.
-        if ((next - first) % clock_reading_interval == 0 && m_parts.loop.now() > end)
+        if ((next - first) % clock_reading_interval == 0 && m_context.loop.now() > end)
             break;
     }
     return next;
 }
 
 // Steps that were not looked at in this pass are in one to come, also if nothing happens.
-void Scheduler::check_again_soon()
+void Scheduler::schedule_recheck()
 {
-    if (m_check_due)
+    if (m_recheck_due)
         return;
-    m_check_due = true;
-    m_parts.loop.after(room_check_interval, m_lifetime.wrap([this] {
-        m_check_due = false;
+    m_recheck_due = true;
+    m_context.loop.after(room_check_interval, m_lifetime.wrap([this] {
+        m_recheck_due = false;
         schedule_pass();
     }));
 }
 
-std::vector<Scheduler::Candidate> Scheduler::candidates()
+std::vector<Scheduler::PendingStep> Scheduler::pending_steps()
 {
-    std::vector<Candidate> found;
+    std::vector<PendingStep> found;
     for (auto& [id, job] : m_jobs) {
-        if (job->closed() || holds_back(*job))
+        if (job->closed() || awaits_unrecorded_runs(*job))
             continue;
         for (auto& [number, repeat] : job->repeats()) {
             for (Step& step : repeat.steps) {
-                if (step.count(TaskPhase::waiting) > 0 && job->may_run(step)
+                if (step.count(TaskPhase::waiting) > 0 && job->dependencies_met(step)
                     && (!step.spec->gang || gang_may_be_placed(step)))
                     found.push_back({ job.get(), &step });
             }
         }
     }
-    const int64_t now_ms = m_parts.store_clock_ms();
+    const int64_t now_ms = m_context.store_clock_ms();
     const bool ample = free_share() > ample_share;
-    for (Candidate& candidate : found) {
+    for (PendingStep& candidate : found) {
         candidate.slack_ms = slack_ms(*candidate.job, now_ms);
         candidate.late = candidate.slack_ms < 0;
         candidate.overdue = is_overdue(candidate, ample);
     }
     const bool by_slack = uses(Mechanism::slack_order);
-    const auto key = [by_slack](const Candidate& candidate) {
+    const auto key = [by_slack](const PendingStep& candidate) {
         const AcceptedJob& job = candidate.job->accepted();
         const int64_t order = by_slack ? candidate.slack_ms : job.accepted_ms;
         return std::make_tuple(
@@ -167,7 +168,7 @@
             candidate.overdue ? candidate.step->idle_since.count() : order);
     };
     std::stable_sort(found.begin(), found.end(),
-                     [&](const Candidate& left, const Candidate& right) {
+                     [&](const PendingStep& left, const PendingStep& right) {
                          return key(left) < key(right);
                      });
     return found;
@@ -177,7 +178,7 @@
 // goes behind all that can still be in time, for ever if advice is scarcer than they are:
 // with one or two nodes of six left, 5 to 20 jobs stood while later ones came
 // (scarce_advice_test).
-bool Scheduler::is_overdue(const Candidate& candidate, bool room_is_ample)
+bool Scheduler::is_overdue(const PendingStep& candidate, bool room_is_ample)
 {
     Step& step = *candidate.step;
     if (step.placed() > 0) {
@@ -195,8 +196,8 @@
 {
     int64_t all = 0;
     int64_t free = 0;
-    for (WorkerNumber number = 0; number < m_rooms.size(); ++number) {
-        const RoomRow& row = m_rooms.row(number);
+    for (WorkerNumber number = 0; number < m_capacity_table.size(); ++number) {
+        const CapacityRow& row = m_capacity_table.row(number);
         if (!row.open)
             continue;
         all += row.capacity.cpu_millis;
@@ -229,7 +230,7 @@
     if (placed == 0)
         return true;
     const Millis now = m_pass_begun;
-    const Millis refill_time = m_parts.bounds.gang_timeout - gang_refill_margin;
+    const Millis refill_time = m_context.bounds.gang_timeout - gang_refill_margin;
     return std::all_of(step.tasks.begin(), step.tasks.end(), [&](const Task& task) {
         if (task.phase == TaskPhase::waiting)
             return task.ended_run != step.gang_run;
@@ -247,27 +248,27 @@
         && (step.spec->label.empty() || info.has_label(step.spec->label));
 }
 
-WorkerRoom Scheduler::room_on(const Worker& worker, const Step& step,
-                              const std::string& name) const
+PlacementOption Scheduler::option_on(const Worker& worker, const Step& step,
+                                     const std::string& name) const
 {
-    WorkerRoom room;
+    PlacementOption room;
     room.worker = worker.session->id();
     room.rack = worker.rack;
     room.free = worker.session->info().capacity - worker.load.used();
     if (step.spec->max_per_worker > 0)
-        room.of_step = worker.load.count_of_step(name);
-    room.at_most = tasks_at_most(worker);
+        room.step_tasks = worker.load.count_of_step(name);
+    room.max_new_tasks = new_task_limit(worker);
     return room;
 }
 
 // A worker that surprised lately gets nothing for a while, then one task at a time, and
 // then is trusted again: a gang might wait for it in vain otherwise.
-int Scheduler::tasks_at_most(const Worker& worker) const
+int Scheduler::new_task_limit(const Worker& worker) const
 {
     const Millis until = std::max(worker.held_until, worker.avoid_until);
-    if (worker.closed || m_pass_begun < until)
+    if (worker.isolated || m_pass_begun < until)
         return 0;
-    if (m_pass_begun < worker.avoid_until + trial_time && worker.surprises > 0)
+    if (m_pass_begun < worker.avoid_until + probation_time && worker.consecutive_faults > 0)
         return worker.load.empty() ? 1 : 0;
     return max_tasks_per_step;
 }
@@ -284,14 +285,14 @@
 void Scheduler::refresh_row(const Worker& worker)
 {
     const WorkerInfo& info = worker.session->info();
-    RoomRow row;
+    CapacityRow row;
     row.capacity = info.capacity;
     row.free = info.capacity - worker.load.used();
     row.service = service_number(info.service);
-    row.at_most = tasks_at_most(worker);
+    row.max_new_tasks = new_task_limit(worker);
     row.open = worker.listed && worker.session->usable() && !info.draining;
     row.slow = is_slow(worker);
-    m_rooms.set(worker.number, row);
+    m_capacity_table.set(worker.number, row);
 }
 
 // Rows follow what is placed and what workers report at once. What changes without either,
@@ -299,13 +300,13 @@
 // a look that finds room there in vain is corrected when the order is to be sent.
 void Scheduler::refresh_rows()
 {
-    if (m_pass_begun - m_rooms_at < room_check_interval)
+    if (m_pass_begun - m_capacity_refreshed_at < room_check_interval)
         return;
-    m_rooms_at = m_pass_begun;
-    for (Worker* worker : m_numbered) {
+    m_capacity_refreshed_at = m_pass_begun;
+    for (Worker* worker : m_workers_by_number) {
         if (worker == nullptr)
             continue;
-        refresh_trials(*worker);
+        refresh_suspects(*worker);
         refresh_row(*worker);
     }
 }
@@ -325,7 +326,7 @@
         if (task.phase == TaskPhase::waiting && !task.failed_on.empty())
             add(task.failed_on);
     }
-    for (const auto& [worker, until] : step.turned_away) {
+    for (const auto& [worker, until] : step.deprioritized_workers) {
         if (m_pass_begun < until)
             add(worker);
     }
@@ -353,8 +354,8 @@
     });
 }
 
-std::vector<WorkerRoom> Scheduler::rooms_for(const JobRecord& job, const Step& step,
-                                             int needed)
+std::vector<PlacementOption> Scheduler::placement_options(const JobRecord& job,
+                                                          const Step& step, int needed)
 {
     const Millis now = m_pass_begun;
     const bool advised = job.accepted().queue.advice.has_value();
@@ -362,15 +363,15 @@
         return {};
     const std::string key = step.name(job.id());
     const std::vector<WorkerNumber> second = second_choices(step);
-    std::vector<WorkerRoom> rooms;
-    std::vector<WorkerRoom> second_rooms;
+    std::vector<PlacementOption> rooms;
+    std::vector<PlacementOption> second_rooms;
     const auto consider = [&](WorkerNumber number) {
-        const RoomRow& row = m_rooms.row(number);
-        const bool no_room = !row.open || !row.free_for(step)
-            || tasks_that_fit_into(*step.spec, row.free, 1, row.at_most) == 0;
-        if (no_room || !is_eligible(*m_numbered[number], job, step))
+        const CapacityRow& row = m_capacity_table.row(number);
+        const bool no_room = !row.open || !row.available_to(step)
+            || tasks_that_fit_into(*step.spec, row.free, 1, row.max_new_tasks) == 0;
+        if (no_room || !is_eligible(*m_workers_by_number[number], job, step))
             return;
-        WorkerRoom room = room_on(*m_numbered[number], step, key);
+        PlacementOption room = option_on(*m_workers_by_number[number], step, key);
         room.slow = row.slow && job.accepted().queue.priority == 0;
         if (tasks_that_fit(*step.spec, room) == 0)
             return;
@@ -383,28 +384,28 @@
                 consider(number);
         }
     } else {
-        for (WorkerNumber number = 0; number < m_rooms.size(); ++number)
+        for (WorkerNumber number = 0; number < m_capacity_table.size(); ++number)
             consider(number);
     }
     // Where a task came to nothing before, it goes only when there is no other room.
     int fit = 0;
-    for (const WorkerRoom& room : rooms)
+    for (const PlacementOption& room : rooms)
         fit += tasks_that_fit(*step.spec, room);
     if (fit < needed && !avoids_second_choices(job, step))
         rooms.insert(rooms.end(), second_rooms.begin(), second_rooms.end());
     return rooms;
 }
 
-void Scheduler::place(const Candidate& candidate)
+void Scheduler::place(const PendingStep& candidate)
 {
     JobRecord& job = *candidate.job;
     Step& step = *candidate.step;
-    if (job.closed() || (step.has_crashes && give_up_spent(job, step)))
+    if (job.closed() || (step.has_crashes && give_up_exhausted(job, step)))
         return;
     const bool apart = step.has_crashes && !step.spec->gang;
     std::vector<size_t> suspects
         = apart ? suspects_to_try(job, step) : std::vector<size_t>();
-    const int waiting = apart ? step.unsuspected() : step.count(TaskPhase::waiting);
+    const int waiting = apart ? step.unsuspected_waiting() : step.count(TaskPhase::waiting);
     const int wanted = waiting + static_cast<int>(suspects.size());
     const int needed = tasks_within_bound(job, step, wanted);
     if (needed == 0)
@@ -412,43 +413,42 @@
     const int others = std::min(waiting, needed);
     if (needed - others < static_cast<int>(suspects.size()))
         suspects.resize(static_cast<size_t>(needed - others));
-    std::vector<WorkerRoom> rooms = rooms_for(job, step, needed);
-    if (step.has_crashes && step.spec->gang && gang_waits_apart(step, needed, rooms))
+    std::vector<PlacementOption> rooms = placement_options(job, step, needed);
+    if (step.has_crashes && step.spec->gang && gang_awaits_isolation(step, needed, rooms))
         return;
     int fit = 0;
     int first_fit = 0; // That of which is no second choice.
-    for (const WorkerRoom& room : rooms) {
+    for (const PlacementOption& room : rooms) {
         const int here = tasks_that_fit(*step.spec, room);
         fit += here;
         first_fit += room.second_choice ? 0 : here;
     }
     if (job.rank() > 0)
-        step.check_at = m_pass_begun + room_check_interval;
+        step.next_placement_at = m_pass_begun + room_check_interval;
     if (step.spec->gang && fit < needed) {
         prepare_gang(job, step, needed);
         return;
     }
     if (first_fit < needed && !step.spec->gang && job.accepted().queue.advice)
-        ask_for_some(job, step, needed);
+        ask_for_independent(job, step, needed);
     place_suspects(job, step, suspects, rooms);
     if (fit == 0)
         return;
-    const std::vector<Share> shares
+    const std::vector<Assignment> shares
         = choose_workers(*step.spec, others, step.spec->gang, rooms);
     if (shares.empty())
         return;
-    step.check_at = Millis(0);
-    intend(job, step, step.waiting_tasks(!apart), shares);
+    step.next_placement_at = Millis(0);
+    record_intent(job, step, step.waiting_tasks(!apart), shares);
 }
 
 // Tells in the log why a step has not started, for whoever asks about its job.
-void Scheduler::explain_wait(const JobRecord& job, Step& step, Millis now)
+void Scheduler::log_wait_reason(const JobRecord& job, Step& step, Millis now)
 {
-    if (now - job.seen() <= least_explanation_interval
-        || step.count(TaskPhase::waiting) == 0 || !job.may_run(step)
-        || !m_explanations.take(now, step.wait_explained))
+    if (now - job.seen() <= min_explanation_interval || step.count(TaskPhase::waiting) == 0
+        || !job.dependencies_met(step) || !m_explanations.acquire(now, step.wait_logged_at))
         return;
-    step.wait_explained = now;
+    step.wait_logged_at = now;
     int eligible = 0;
     int allowed = 0;
     int fit = 0;
@@ -460,7 +460,7 @@
         if (known == step.advice.workers.end() || !known->second.allowed)
             continue;
         ++allowed;
-        fit += tasks_that_fit(*step.spec, room_on(worker, step, step.name(job.id())));
+        fit += tasks_that_fit(*step.spec, option_on(worker, step, step.name(job.id())));
     }
     log_event(
         LogLevel::info, "step_waits",
@@ -472,12 +472,12 @@
           { "asked", static_cast<int64_t>(step.advice.workers.size()) },
           { "allowed", allowed },
           { "fit", fit },
-          { "suspected", step.count(TaskPhase::waiting) - step.unsuspected() },
+          { "suspected", step.count(TaskPhase::waiting) - step.unsuspected_waiting() },
           { "workspace", job.accepted().workspace },
           { "at_bound", step.at_bound ? "yes" : "no" },
           { "asking", step.advice.asking ? "yes" : "no" },
           { "idle_ms", step.idle_since == Millis(0) ? 0 : (now - step.idle_since).count() },
-          { "held_back", holds_back(job) ? "yes" : "no" } });
+          { "held_back", awaits_unrecorded_runs(job) ? "yes" : "no" } });
 }
 
 } // namespace pathport::jobs
--- a/src/jobs.lib/scheduler_preempt.cpp
+++ b/src/jobs.lib/scheduler_preempt.cpp
@@ -28,7 +28,7 @@
 std::vector<Scheduler::Victim> Scheduler::victims_on(const Worker& worker, int priority)
 {
     std::vector<Victim> victims;
-    for (const auto& [name, occupant] : worker.load.occupants()) {
+    for (const auto& [name, occupant] : worker.load.allocations()) {
         const auto id = TaskId::parse(name);
         JobRecord* job = id ? find_job(id->job) : nullptr;
         Task* task = job == nullptr ? nullptr : job->task(*id);
@@ -38,7 +38,7 @@
         // A start that counts against a suspect is its chance to be cleared.
         const bool on_last_tries = task->crashes.tries() > 0;
         const bool stoppable = task->phase == TaskPhase::running && spec.saves_progress
-            && !spec.gang && !spec.lasting && !on_last_tries;
+            && !spec.gang && !spec.long_running && !on_last_tries;
         const bool stopping = task->phase == TaskPhase::stopping;
         if (stoppable || stopping)
             victims.push_back({ *id, task, occupant.need, stopping });
@@ -54,7 +54,7 @@
 // Returns whether the job can't wait long any more and is still worth something.
 bool Scheduler::may_preempt(const JobRecord& job) const
 {
-    const int64_t now_ms = m_parts.store_clock_ms();
+    const int64_t now_ms = m_context.store_clock_ms();
     JobRecord& record = *m_jobs.at(job.id());
     const int64_t allowed = allowed_ms(record);
     const bool worthless = now_ms - job.accepted().accepted_ms > late_multiple * allowed;
@@ -65,38 +65,39 @@
 // Tasks that need not start together, and have no room on any worker that they may use:
 // less urgent tasks there give way, on as few workers as needed, which are kept until then.
 // Returns whether room will come.
-bool Scheduler::prepare_some(const JobRecord& job, Step& step, Prospects& found, int needed)
+bool Scheduler::preempt_for_independent(const JobRecord& job, Step& step,
+                                        WorkerCandidates& found, int needed)
 {
-    if (found.fit > 0 || found.later_fit == 0 || !may_preempt(job))
+    if (found.fit > 0 || found.potential_fit == 0 || !may_preempt(job))
         return false;
     auto& allowed = found.allowed;
-    const auto without_room
-        = std::remove_if(allowed.begin(), allowed.end(),
-                         [](const Prospect& prospect) { return prospect.later_fit == 0; });
+    const auto without_room = std::remove_if(
+        allowed.begin(), allowed.end(),
+        [](const WorkerCandidate& prospect) { return prospect.potential_fit == 0; });
     allowed.erase(without_room, allowed.end());
-    const int wanted = std::min(needed, found.later_fit);
+    const int wanted = std::min(needed, found.potential_fit);
     size_t used = 0;
     int fit = 0;
     while (used < allowed.size() && fit < wanted)
-        fit += allowed[used++].later_fit;
+        fit += allowed[used++].potential_fit;
     allowed.resize(used);
-    if (!make_room(job, step, allowed, wanted))
+    if (!preempt_for(job, step, allowed, wanted))
         return false;
-    for (const Prospect& prospect : allowed)
+    for (const WorkerCandidate& prospect : allowed)
         reserve(*prospect.worker, step);
     if (!job.accepted().queue.advice || tickets_last(step, allowed)) {
-        keep(step, allowed, ticket_reserve());
+        keep(step, allowed, min_ticket_lifetime());
         return true;
     }
-    ask(job, step, numbers(allowed));
-    keep(step, allowed, step.advice.asking ? longest_question : ticket_reserve());
+    ask(job, step, worker_numbers(allowed));
+    keep(step, allowed, step.advice.asking ? max_advice_wait : min_ticket_lifetime());
     return true;
 }
 
 // Stops tasks on the workers that are kept for the gang, if that makes enough room there.
 // Returns whether the room will come.
-bool Scheduler::make_room(const JobRecord& job, const Step& step,
-                          const std::vector<Prospect>& kept, int needed)
+bool Scheduler::preempt_for(const JobRecord& job, const Step& step,
+                            const std::vector<WorkerCandidate>& kept, int needed)
 {
     const int priority = job.rank();
     if (!may_preempt(job))
@@ -104,10 +105,10 @@
     const std::string key = step.name(job.id());
     std::vector<std::pair<Worker*, Victim>> chosen;
     int fit = 0;
-    for (const Prospect& prospect : kept) {
-        WorkerRoom room = room_on(*prospect.worker, step, key);
+    for (const WorkerCandidate& prospect : kept) {
+        PlacementOption room = option_on(*prospect.worker, step, key);
         int here = tasks_that_fit(*step.spec, room);
-        const int wanted = std::min(prospect.later_fit, needed - fit);
+        const int wanted = std::min(prospect.potential_fit, needed - fit);
         for (const Victim& victim : victims_on(*prospect.worker, priority)) {
             if (here >= wanted)
                 break;
@@ -128,7 +129,7 @@
         return true;
     log_event(LogLevel::info, "preempted",
               { { "job", job.id() }, { "stopped", static_cast<int64_t>(chosen.size()) } });
-    m_parts.metrics.count("pathport_preemptions_total", {}, double(chosen.size()));
+    m_context.metrics.count("pathport_preemptions_total", {}, double(chosen.size()));
     return true;
 }
 
--- a/src/jobs.lib/scheduler_compare.cpp
+++ b/src/jobs.lib/scheduler_reconcile.cpp
@@ -11,7 +11,7 @@
 namespace pathport::jobs {
 
 // Of a run whose job is closed it isn't known what it takes: the whole worker at most.
-void Scheduler::occupy_unplanned(Worker& worker, const RunningTask& running)
+void Scheduler::occupy_unexpected(Worker& worker, const RunningTask& running)
 {
     JobRecord* job = find_job(running.task.job);
     const Step* step
@@ -24,7 +24,7 @@
 // What runs is compared with what should in every report, not only in the first: a run that
 // the leader has lost sight of, for whatever reason, would otherwise go on to its end, also
 // when its job is cancelled.
-void Scheduler::compare(Worker& worker, const RunningTask& running)
+void Scheduler::reconcile(Worker& worker, const RunningTask& running)
 {
     // A successor's, which this leader does not know of yet.
     if (running.run / runs_per_epoch > m_claim.head.epoch)
@@ -55,9 +55,9 @@
                     { "worker", worker.session->id() },
                     { "job_open", closed ? "no" : "yes" } });
         if (!worker.load.holds(running.task))
-            occupy_unplanned(worker, running);
+            occupy_unexpected(worker, running);
         Task* task = closed ? nullptr : job->task(running.task);
-        if (task != nullptr && take_back_intent(running.task, *task)) {
+        if (task != nullptr && cancel_intent(running.task, *task)) {
             task->phase = TaskPhase::stopping;
             task->worker = worker.session->id();
             task->run = running.run;
@@ -70,7 +70,7 @@
 }
 
 // Returns whether the task waits, also because the order for it had not been sent yet.
-bool Scheduler::take_back_intent(const TaskId& id, Task& task)
+bool Scheduler::cancel_intent(const TaskId& id, Task& task)
 {
     if (task.phase == TaskPhase::intended) {
         if (Worker* worker = find_worker(task.worker))
@@ -83,7 +83,7 @@
 void Scheduler::run_gone(WorkerSession& session, const TaskId& id, int64_t run)
 {
     Worker* worker = find_worker(session.id());
-    if (worker == nullptr || m_phase == Phase::over)
+    if (worker == nullptr || m_phase == Phase::terminated)
         return;
     vacate(*worker, id, run);
     JobRecord* job = find_job(id.job);
--- a/src/jobs.lib/scheduler_reports.cpp
+++ b/src/jobs.lib/scheduler_reports.cpp
@@ -35,13 +35,13 @@
 
 } // namespace
 
-void Scheduler::reported(WorkerSession& session, const LookReport& report,
-                         ReportStage stage)
+void Scheduler::report_received(WorkerSession& session, const PollReport& report,
+                                ReportStage stage)
 {
     Worker* worker = find_worker(session.id());
-    if (worker == nullptr || m_phase == Phase::over)
+    if (worker == nullptr || m_phase == Phase::terminated)
         return;
-    const bool first = stage != ReportStage::later;
+    const bool first = stage != ReportStage::subsequent;
     note_answered(session);
     std::set<std::string> changed;
     // All of them are gone before the first is applied: it may close the job, and what has
@@ -56,7 +56,7 @@
     // it in each.
     for (const RunningTask& running : report.running) {
         if (!first)
-            compare(*worker, running);
+            reconcile(*worker, running);
         else if (!worker->load.holds(running.task))
             adopt(*worker, running);
         else
@@ -64,11 +64,11 @@
     }
     record_ends(*worker, report, changed);
     refresh_row(*worker);
-    if (stage == ReportStage::first_whole) {
-        m_strays_until.erase(session.id());
+    if (stage == ReportStage::first_complete) {
+        m_unconfirmed_until.erase(session.id());
         release_missing(*worker);
         resolve_unrecorded(session.id());
-        settle();
+        activate_when_ready();
         schedule_pass();
     }
 }
@@ -76,7 +76,7 @@
 // The worker may forget the ends once all that follows from them is in the store. An end
 // that changed nothing, such as that of a further member of a gang, waits for what is on
 // its way there for its job.
-void Scheduler::record_ends(Worker& worker, const LookReport& report,
+void Scheduler::record_ends(Worker& worker, const PollReport& report,
                             const std::set<std::string>& changed)
 {
     if (report.ended.empty())
@@ -97,7 +97,7 @@
         });
         const bool known = find_job(id) != nullptr || m_closed.count(id) > 0;
         if (!known)
-            keep_ends(id, worker, report, done);
+            defer_ends(id, worker, report, done);
         else if (changed.count(id) > 0)
             m_log.record(id, done);
         else
@@ -119,7 +119,7 @@
     const bool untold = task != nullptr && task->phase == TaskPhase::waiting;
     Step* step
         = job == nullptr ? nullptr : job->step(running.task.repeat, running.task.step);
-    occupy_unplanned(worker, running);
+    occupy_unexpected(worker, running);
     if (step == nullptr || task == nullptr || job->closed() || !(expected || untold)) {
         log_event(
             LogLevel::info, "stray_run_stopped",
@@ -131,7 +131,7 @@
             m_stray_jobs.insert(running.task.job);
         return;
     }
-    const Millis now = m_parts.loop.now();
+    const Millis now = m_context.loop.now();
     const bool recorded
         = expected && task->worker == worker.session->id() && task->run == running.run;
     task->phase = TaskPhase::running;
@@ -141,9 +141,9 @@
     task->ordered_at = now;
     task->adopted = true;
     // A start that was taken for lost with another life has come about.
-    task->crashes.take_back(running.run);
+    task->crashes.retract(running.run);
     if (task->crashes.suspicion() != Suspicion::none)
-        begin_trial(worker, running.task);
+        track_suspect(worker, running.task);
     task->percent = running.percent;
     task->percent_at = now;
     task->listed_at = now;
@@ -169,9 +169,9 @@
 {
     if (!running.checkpoint.empty())
         task.checkpoint = running.checkpoint;
-    const Millis now = m_parts.loop.now();
+    const Millis now = m_context.loop.now();
     task.listed_at = now;
-    clear_if_outlived(running.task, task);
+    clear_if_survived(running.task, task);
     if (task.percent == running.percent)
         return;
     task.percent = running.percent;
@@ -186,11 +186,12 @@
     const auto doubts = m_in_doubt.find(id);
     if (doubts == m_in_doubt.end())
         return;
-    release_doubts(id, doubts->second);
+    release_in_doubt(id, doubts->second);
     m_in_doubt.erase(doubts);
 }
 
-void Scheduler::release_doubts(const std::string& worker, const std::vector<TaskId>& tasks)
+void Scheduler::release_in_doubt(const std::string& worker,
+                                 const std::vector<TaskId>& tasks)
 {
     for (const TaskId& id : tasks) {
         JobRecord* job = find_job(id.job);
@@ -201,7 +202,7 @@
 }
 
 // An end that an earlier leader did not record, of a run that it did not record either.
-bool Scheduler::is_untold_end(const Task& task, const EndedTask& end)
+bool Scheduler::is_unrecorded_end(const Task& task, const EndedTask& end)
 {
     if (task.phase == TaskPhase::done || end.run <= task.ended_run)
         return false;
@@ -214,13 +215,13 @@
 // run again. A gang that is placed anew is left alone.
 bool Scheduler::is_late_success(const Step& step, const EndedTask& end)
 {
-    return end.kind == EndKind::done && !step.spec->lasting
+    return end.kind == EndKind::done && !step.spec->long_running
         && (!step.spec->gang || step.placed() == 0);
 }
 
 bool Scheduler::apply_end(Worker& worker, const EndedTask& end, bool first)
 {
-    m_parts.metrics.count("pathport_ends_total", { { "how", to_string(end.kind) } });
+    m_context.metrics.count("pathport_ends_total", { { "how", to_string(end.kind) } });
     vacate(worker, end.task, end.run);
     schedule_pass();
     JobRecord* job = find_job(end.task.job);
@@ -228,7 +229,7 @@
     const bool placed_here = task != nullptr && task->placed()
         && task->worker == worker.session->id() && task->run == end.run;
     const bool ours
-        = placed_here || (first && task != nullptr && is_untold_end(*task, end));
+        = placed_here || (first && task != nullptr && is_unrecorded_end(*task, end));
     log_event(LogLevel::info, "task_ended",
               { { "job", end.task.job },
                 { "task", end.task.to_string() },
@@ -239,7 +240,7 @@
                 { "counts", ours ? "yes" : "no" } });
     Step* found = job == nullptr ? nullptr : job->step(end.task.repeat, end.task.step);
     if (!ours && task != nullptr && is_late_success(*found, end)
-        && take_back_intent(end.task, *task)) {
+        && cancel_intent(end.task, *task)) {
         apply_done(*job, *found, *task);
         after_step_change(*job, *found);
         return true;
@@ -260,7 +261,7 @@
     if (!end.checkpoint.empty())
         task->checkpoint = end.checkpoint;
     if (end.kind == EndKind::done) {
-        worker.surprises = 0;
+        worker.consecutive_faults = 0;
         learn_speed(worker, *job, step, *task);
         apply_done(*job, step, *task);
     } else if (end.kind == EndKind::failed) {
@@ -274,7 +275,7 @@
 
 void Scheduler::apply_done(JobRecord&, Step& step, Task& task)
 {
-    if (step.spec->lasting) {
+    if (step.spec->long_running) {
         release(task);
         return;
     }
@@ -296,30 +297,30 @@
                               const EndedTask& end)
 {
     task.failed_on = worker.session->id();
-    task.failed_at = m_parts.loop.now();
+    task.failed_at = m_context.loop.now();
     if (task.crashes.cleared_by_end_after(task.failed_at - task.ordered_at))
         task.crashes.clear();
     else
-        task.crashes.start_was_harmless();
+        task.crashes.note_harmless_failure();
     release(task);
     step.failed_workers.insert(worker.session->id());
     // What fails on several workers fails by its own fault.
     if (step.failed_workers.size() < workers_of_own_fault)
-        note_surprise(worker, job.id());
+        note_fault(worker, job.id());
     count_failure(job, step, task, end.run);
 }
 
 // Each run counts once, also when its end is reported to one leader after another.
 bool Scheduler::count_failure(JobRecord& job, Step& step, Task& task, int64_t run)
 {
-    if (step.spec->lasting)
+    if (step.spec->long_running)
         return false;
     auto& runs = step.spec->gang ? step.gang_failed_runs : task.failed_runs;
     if (std::find(runs.begin(), runs.end(), run) != runs.end())
         return false;
     runs.push_back(run);
     if (runs.size() >= size_t(job.accepted().queue.max_failures))
-        job.gave_up = true;
+        job.retries_exhausted = true;
     return true;
 }
 
@@ -328,14 +329,15 @@
 void Scheduler::learn_speed(Worker& worker, const JobRecord& job, const Step& step,
                             const Task& task)
 {
-    const Millis took = m_parts.loop.now() - task.placed_at;
-    const bool comparable = !step.spec->gang && !step.spec->lasting && !step.spec->fills
-        && task.checkpoint.empty() && step.spec->expected_ms > 0 && took > Millis(0);
+    const Millis took = m_context.loop.now() - task.placed_at;
+    const bool comparable = !step.spec->gang && !step.spec->long_running
+        && !step.spec->best_effort_cpu && task.checkpoint.empty()
+        && step.spec->expected_ms > 0 && took > Millis(0);
     if (!comparable)
         return;
     const double error = std::log(double(took.count()) / double(step.spec->expected_ms));
     double& usual
-        = m_guess_error.try_emplace(job.accepted().queue.name, error).first->second;
+        = m_estimate_error.try_emplace(job.accepted().queue.name, error).first->second;
     usual += guess_learning * (error - usual);
     const double against_others = std::clamp(error - usual, -most_slowness, most_slowness);
     worker.slowness += speed_learning * (against_others - worker.slowness);
@@ -347,12 +349,12 @@
     return uses(Mechanism::slow_workers) && worker.slowness > slow_worker;
 }
 
-void Scheduler::note_surprise(Worker& worker, const std::string& job)
+void Scheduler::note_fault(Worker& worker, const std::string& job)
 {
-    if (worker.last_failed_job == job && worker.surprises > 0)
+    if (worker.last_failed_job == job && worker.consecutive_faults > 0)
         return;
     worker.last_failed_job = job;
-    count_surprise(worker);
+    count_fault(worker);
 }
 
 // Starts that were chosen before a refusal was known are one surprise with it. Another one
@@ -361,30 +363,32 @@
 {
     if (chosen_at <= worker.refused_at)
         return;
-    worker.refused_at = m_parts.loop.now();
-    count_surprise(worker);
+    worker.refused_at = m_context.loop.now();
+    count_fault(worker);
 }
 
 // Returns whether so many others are left alone that this one is not.
-bool Scheduler::avoids_enough_besides(const Worker& worker) const
+bool Scheduler::avoidance_limit_reached(const Worker& worker) const
 {
-    const Millis now = m_parts.loop.now();
-    const auto avoided = std::count_if(
-        m_workers.begin(), m_workers.end(), [&](const auto& entry) {
-            return &entry.second != &worker && now < entry.second.avoid_until + trial_time;
-        });
+    const Millis now = m_context.loop.now();
+    const auto avoided
+        = std::count_if(m_workers.begin(), m_workers.end(), [&](const auto& entry) {
+              return &entry.second != &worker
+                  && now < entry.second.avoid_until + probation_time;
+          });
     return static_cast<size_t>(avoided)
         >= std::max<size_t>(1, m_workers.size() / avoided_fraction);
 }
 
-void Scheduler::count_surprise(Worker& worker)
+void Scheduler::count_fault(Worker& worker)
 {
-    if (++worker.surprises < most_surprises || avoids_enough_besides(worker)
+    if (++worker.consecutive_faults < most_surprises || avoidance_limit_reached(worker)
         || !uses(Mechanism::avoided_workers))
         return;
-    worker.avoid_until = m_parts.loop.now() + avoid_time;
-    log_event(LogLevel::warn, "worker_avoided",
-              { { "worker", worker.session->id() }, { "surprises", worker.surprises } });
+    worker.avoid_until = m_context.loop.now() + avoid_time;
+    log_event(
+        LogLevel::warn, "worker_avoided",
+        { { "worker", worker.session->id() }, { "surprises", worker.consecutive_faults } });
 }
 
 void Scheduler::batch_recorded(const std::string& id,
--- a/src/jobs.lib/scheduler_silent.cpp
+++ b/src/jobs.lib/scheduler_silent.cpp
@@ -21,27 +21,27 @@
 
 bool Scheduler::store_clock_known() const
 {
-    return m_parts.store_clock != nullptr && m_parts.store_clock->known();
+    return m_context.store_clock != nullptr && m_context.store_clock->known();
 }
 
 // Returns when all that earlier leaders leased to the worker has ended. None of them
 // renewed a lease there while the head row named the worker, so the time in that row holds
 // for this leader as well. Counted anew from each claim, tasks stood for 8.8 s more a
 // leader.
-Millis Scheduler::unknown_until(const std::string& worker) const
+Millis Scheduler::earlier_leases_until(const std::string& worker) const
 {
-    const auto over = m_unreached.over_ms(worker);
+    const auto over = m_silent_workers.lease_end_ms(worker);
     if (!over || !store_clock_known())
-        return m_unknown_until;
-    return std::min(m_unknown_until, m_parts.store_clock->reached_by(*over));
+        return m_earlier_leases_until;
+    return std::min(m_earlier_leases_until, m_context.store_clock->reached_by(*over));
 }
 
-bool Scheduler::may_lease(const WorkerSession& session) const
+bool Scheduler::may_renew_lease(const WorkerSession& session) const
 {
     return m_log.may_lease(session.id());
 }
 
-void Scheduler::lost(WorkerSession&)
+void Scheduler::worker_lost(WorkerSession&)
 {
     m_log.write_soon();
 }
@@ -49,34 +49,34 @@
 // The worker has answered under this leader's fence: its session knows all leases since.
 void Scheduler::note_answered(const WorkerSession& session)
 {
-    m_unreached.erase(session.id());
-    take_back_lapsed(session.id());
+    m_silent_workers.erase(session.id());
+    retract_lapsed_loss(session.id());
     if (m_log.may_lease(session.id()))
         return;
-    m_lease_waits.insert(session.id());
+    m_awaiting_lease.insert(session.id());
     m_log.write_soon();
 }
 
-void Scheduler::note_ended(const WorkerSession& session, Millis lapses_at)
+void Scheduler::note_session_end(const WorkerSession& session, Millis lapses_at)
 {
     if (!store_clock_known())
         return;
-    const int64_t over = m_parts.store_clock->latest_at(lapses_at);
-    const auto known = m_unreached.over_ms(session.id());
-    m_unreached.set(session.id(), known ? std::min(*known, over) : over);
+    const int64_t over = m_context.store_clock->latest_at(lapses_at);
+    const auto known = m_silent_workers.lease_end_ms(session.id());
+    m_silent_workers.set(session.id(), known ? std::min(*known, over) : over);
 }
 
 // Workers that are not listed, and at which an earlier leader may have left tasks, can't be
 // looked at; the next leader is not to count anew for them either.
 void Scheduler::note_unlisted()
 {
-    if (!m_workers_known || m_parts.loop.now() >= m_unknown_until)
+    if (!m_workers_known || m_context.loop.now() >= m_earlier_leases_until)
         return;
-    const int64_t over = m_parts.store_clock->latest_at(m_unknown_until);
+    const int64_t over = m_context.store_clock->latest_at(m_earlier_leases_until);
     const auto note = [&](const std::string& worker) {
-        const bool known = m_workers.count(worker) > 0 || m_unreached.names(worker);
+        const bool known = m_workers.count(worker) > 0 || m_silent_workers.contains(worker);
         if (!known && worker != any_worker)
-            m_unreached.set(worker, over);
+            m_silent_workers.set(worker, over);
     };
     for (const auto& [worker, tasks] : m_in_doubt)
         note(worker);
@@ -87,17 +87,17 @@
 SilentWorkers Scheduler::silent_workers()
 {
     if (!store_clock_known())
-        return m_unreached;
+        return m_silent_workers;
     note_unlisted();
-    const StoreClock& clock = *m_parts.store_clock;
-    const Millis now = m_parts.loop.now();
+    const StoreClock& clock = *m_context.store_clock;
+    const Millis now = m_context.loop.now();
     // Until then this leader goes by them itself.
-    if (now >= m_unknown_until)
-        m_unreached.forget_before(clock.latest_at(now) - remembered_ms);
-    SilentWorkers silent = m_unreached;
+    if (now >= m_earlier_leases_until)
+        m_silent_workers.erase_before(clock.latest_at(now) - remembered_ms);
+    SilentWorkers silent = m_silent_workers;
     for (const auto& [id, worker] : m_workers) {
-        if (worker.session->silent() && !silent.names(id))
-            silent.set(id, clock.latest_at(worker.session->lapses_at()));
+        if (worker.session->silent() && !silent.contains(id))
+            silent.set(id, clock.latest_at(worker.session->lease_expires_at()));
     }
     return silent;
 }
@@ -105,14 +105,14 @@
 void Scheduler::head_written()
 {
     std::set<std::string> waiting;
-    waiting.swap(m_lease_waits);
+    waiting.swap(m_awaiting_lease);
     for (const std::string& id : waiting) {
         Worker* worker = find_worker(id);
         if (worker == nullptr || worker->session->silent())
             continue;
         if (!m_log.may_lease(id)) {
             // The write was on its way when the worker answered.
-            m_lease_waits.insert(id);
+            m_awaiting_lease.insert(id);
             m_log.write_soon();
             continue;
         }
--- a/src/jobs.lib/scheduler_start.cpp
+++ b/src/jobs.lib/scheduler_start.cpp
@@ -37,17 +37,17 @@
 } // namespace
 
 // Gives the tasks, by their numbers, to the workers of the shares.
-void Scheduler::intend(JobRecord& job, Step& step, const std::vector<size_t>& tasks,
-                       const std::vector<Share>& shares)
+void Scheduler::record_intent(JobRecord& job, Step& step, const std::vector<size_t>& tasks,
+                              const std::vector<Assignment>& shares)
 {
     step.idle_since = Millis(0);
     const bool refill = step.spec->gang && step.placed() > 0;
     step.advice.retry_at = Millis(0);
-    step.advice.fruitless = 0;
-    step.kept_workers.clear();
+    step.advice.unhelpful_answers = 0;
+    step.reserved_workers.clear();
     const int64_t run = refill ? step.gang_run : ++m_last_run;
     step.gang_run = run;
-    const bool wary = step.wary();
+    const bool wary = step.is_suspect();
     auto share = shares.begin();
     int left = share->count;
     for (const size_t i : tasks) {
@@ -73,22 +73,22 @@
         worker.last_start = m_pass_begun;
         task.crashes.note_start();
         if (Step::suspicion(task, wary) != Suspicion::none)
-            begin_trial(worker, id);
+            track_suspect(worker, id);
         occupy(worker, id, run, *step.spec, &job);
     }
     record(job, [this, id = job.id(), repeat = step.repeat, index = step.index, run] {
-        send_intended(id, repeat, index, run, true);
+        send_orders(id, repeat, index, run, true);
     });
     // The store is slow, and the head row says that orders may precede their record. Not so
     // once this leader has resigned: its successor may have claimed already, and does not
     // know jobs that came after its load.
-    if (m_log.orders_precede() && !m_resigned)
-        send_intended(job.id(), step.repeat, step.index, run, false);
+    if (m_log.allows_early_orders() && !m_resigned)
+        send_orders(job.id(), step.repeat, step.index, run, false);
 }
 
 // What was intended before the head row said that orders may precede their records needs
 // not wait for its own record any more.
-void Scheduler::orders_released()
+void Scheduler::early_orders_enabled()
 {
     if (m_resigned)
         return;
@@ -98,7 +98,7 @@
                 for (size_t i = 0; i < step.tasks.size(); ++i) {
                     const Task& task = step.tasks[i];
                     if (task.phase == TaskPhase::intended && may_precede_its_record(task)
-                        && m_log.may_precede_record(task.worker))
+                        && m_log.may_order_early(task.worker))
                         start_task(*job, step, static_cast<int>(i));
                 }
             }
@@ -108,8 +108,8 @@
 
 // Sends the orders of a run. Until it is recorded only those to workers that the head row
 // names.
-void Scheduler::send_intended(const std::string& id, int repeat, int index, int64_t run,
-                              bool recorded)
+void Scheduler::send_orders(const std::string& id, int repeat, int index, int64_t run,
+                            bool recorded)
 {
     JobRecord* job = find_job(id);
     Step* step = job == nullptr ? nullptr : job->step(repeat, index);
@@ -120,7 +120,7 @@
         if (task.phase != TaskPhase::intended || task.run != run)
             continue;
         const bool may_precede
-            = may_precede_its_record(task) && m_log.may_precede_record(task.worker);
+            = may_precede_its_record(task) && m_log.may_order_early(task.worker);
         if (recorded || may_precede)
             start_task(*job, *step, static_cast<int>(i));
     }
@@ -131,7 +131,7 @@
     Task& task = step.tasks[static_cast<size_t>(index)];
     const TaskId id { job.id(), step.repeat, step.index, index };
     Worker* worker = find_worker(task.worker);
-    const Millis now = m_parts.loop.now();
+    const Millis now = m_context.loop.now();
     bool ticket_good = true;
     if (worker != nullptr && job.accepted().queue.advice) {
         const auto permission = step.advice.workers.find(worker->number);
@@ -141,11 +141,11 @@
     // The room may have shrunk since it was chosen.
     const bool has_room = worker != nullptr
         && worker->load.used().fits_in(worker->session->info().capacity);
-    if (!has_room || job.closed() || !may_order() || !list_is_fresh() || !ticket_good
+    if (!has_room || job.closed() || !orders_allowed() || !list_is_fresh() || !ticket_good
         || !is_eligible(*worker, job, step)) {
         if (worker != nullptr)
             vacate(*worker, id, task.run);
-        task.crashes.start_came_to_nothing();
+        task.crashes.note_failed_start();
         release(task);
         schedule_pass();
         return;
@@ -167,7 +167,7 @@
                            task.ticket,
                            m_lifetime.wrap([this, id, name = task.worker, run = task.run](
                                                StartResult result, OrderStatus status) {
-                               start_ended(id, name, run, result, status);
+                               start_completed(id, name, run, result, status);
                            }));
 }
 
@@ -177,21 +177,21 @@
     if (job.begun)
         return;
     job.begun = true;
-    const Millis waited = m_parts.loop.now() - job.seen();
-    m_parts.metrics.observe_seconds(
+    const Millis waited = m_context.loop.now() - job.seen();
+    m_context.metrics.observe_seconds(
         "pathport_first_start_wait_seconds", double(waited.count()) / 1000,
         { { "priority", std::to_string(job.accepted().queue.priority) } });
 }
 
-void Scheduler::start_ended(const TaskId& id, const std::string& name, int64_t run,
-                            StartResult result, OrderStatus status)
+void Scheduler::start_completed(const TaskId& id, const std::string& name, int64_t run,
+                                StartResult result, OrderStatus status)
 {
     Worker* worker = find_worker(name);
     JobRecord* job = find_job(id.job);
     Task* task = job == nullptr ? nullptr : job->task(id);
     const bool present = task != nullptr && task->phase == TaskPhase::starting
         && task->run == run && task->worker == name;
-    m_parts.metrics.count("pathport_starts_total", { { "outcome", to_string(status) } });
+    m_context.metrics.count("pathport_starts_total", { { "outcome", to_string(status) } });
     log_event(LogLevel::info, "task_start",
               { { "job", id.job },
                 { "task", id.to_string() },
@@ -208,10 +208,10 @@
         if (status == OrderStatus::bad_ticket && worker != nullptr)
             step.advice.workers.erase(worker->number);
         if (lies_with_worker(status))
-            step.note_turned_away(name, m_parts.loop.now());
+            step.deprioritize(name, m_context.loop.now());
         if (is_refusal(status) && worker != nullptr)
             note_refusal(*worker, task->placed_at);
-        task->crashes.start_came_to_nothing();
+        task->crashes.note_failed_start();
         release(*task);
         schedule_pass();
         return;
@@ -221,7 +221,7 @@
     if (present) {
         task->phase = TaskPhase::running;
         task->percent = 0;
-        task->percent_at = m_parts.loop.now();
+        task->percent_at = m_context.loop.now();
         task->listed_at = task->percent_at;
         if (!job->closed())
             return;
