--- a/src/jobs.lib/scheduler_suspects.cpp
+++ b/src/jobs.lib/scheduler_suspects.cpp
@@ -24,51 +24,52 @@
 /// A suspect is on trial no longer after its start, whether it is cleared by then or not.
 constexpr Millis longest_trial { 5000 };
 /// A worker is held for a likely suspect no longer than until it is quiet, and a little.
-constexpr Millis longest_held = fresh_run + Millis(500);
+constexpr Millis longest_held = startup_window + Millis(500);
 /// One in so many workers is kept from other starts at a time.
 constexpr size_t closed_fraction = 4;
 
 } // namespace
 
 // A suspect is about to start on the worker.
-void Scheduler::begin_trial(Worker& worker, const TaskId& task)
+void Scheduler::track_suspect(Worker& worker, const TaskId& task)
 {
-    worker.on_trial.insert(task.to_string());
-    refresh_trials(worker);
+    worker.active_suspects.insert(task.to_string());
+    refresh_suspects(worker);
 }
 
 // Returns whether a suspect has been started so lately that it may yet crash its worker.
-bool Scheduler::is_on_trial(const Task& task, bool wary) const
+bool Scheduler::is_suspect_active(const Task& task, bool wary) const
 {
     const bool ordered = task.phase != TaskPhase::intended;
     return task.placed() && Step::suspicion(task, wary) != Suspicion::none
-        && (!ordered || m_parts.loop.now() - task.ordered_at < longest_trial);
+        && (!ordered || m_context.loop.now() - task.ordered_at < longest_trial);
 }
 
 // What is not there any more, or is cleared, holds up nothing else.
-void Scheduler::refresh_trials(Worker& worker)
+void Scheduler::refresh_suspects(Worker& worker)
 {
-    if (worker.on_trial.empty())
+    if (worker.active_suspects.empty())
         return;
     bool closes = false;
-    for (auto name = worker.on_trial.begin(); name != worker.on_trial.end();) {
+    for (auto name = worker.active_suspects.begin();
+         name != worker.active_suspects.end();) {
         const auto id = TaskId::parse(*name);
         JobRecord* job = find_job(id->job);
         const Task* task = job == nullptr ? nullptr : job->task(*id);
         const bool there = task != nullptr && task->worker == worker.session->id()
-            && is_on_trial(*task, job->step(id->repeat, id->step)->wary());
+            && is_suspect_active(*task, job->step(id->repeat, id->step)->is_suspect());
         closes = closes || (there && task->crashes.suspicion() == Suspicion::likely);
-        name = there ? std::next(name) : worker.on_trial.erase(name);
+        name = there ? std::next(name) : worker.active_suspects.erase(name);
     }
-    worker.closed = closes && (worker.closed || may_close_another());
+    worker.isolated = closes && (worker.isolated || may_isolate_another());
 }
 
 // Returns whether a further worker may be kept from other starts.
-bool Scheduler::may_close_another() const
+bool Scheduler::may_isolate_another() const
 {
     const auto closed
         = std::count_if(m_workers.begin(), m_workers.end(), [this](const auto& entry) {
-              return entry.second.closed || m_pass_begun < entry.second.held_until;
+              return entry.second.isolated || m_pass_begun < entry.second.held_until;
           });
     return static_cast<size_t>(closed)
         < std::max<size_t>(1, m_workers.size() / closed_fraction);
@@ -85,24 +86,24 @@
         for (const Step& other : repeat.steps) {
             if (!other.has_crashes)
                 continue;
-            const bool wary = other.wary();
+            const bool wary = other.is_suspect();
             for (const Task& task : other.tasks) {
                 const Suspicion suspicion = Step::suspicion(task, wary);
                 if (suspicion == Suspicion::none || task.phase == TaskPhase::done)
                     continue;
-                tried += is_on_trial(task, wary) ? 1 : 0;
+                tried += is_suspect_active(task, wary) ? 1 : 0;
                 has_likely = has_likely || suspicion == Suspicion::likely;
             }
         }
     }
     const int most = has_likely ? 1 : most_tried;
-    const bool wary = step.wary();
+    const bool wary = step.is_suspect();
     std::vector<size_t> found;
     for (size_t i = 0; i < step.tasks.size() && tried < most; ++i) {
         const Task& task = step.tasks[i];
         const Suspicion suspicion = Step::suspicion(task, wary);
         const bool goes = task.phase == TaskPhase::waiting && suspicion != Suspicion::none
-            && m_pass_begun >= task.judged_at
+            && m_pass_begun >= task.verdict_at
             && (!has_likely || suspicion == Suspicion::likely);
         if (!goes)
             continue;
@@ -114,22 +115,23 @@
 
 // Returns the place in `rooms` of the worker to try the suspect on: where nothing else
 // would be blamed, and the least is at risk. Returns their number if it should wait.
-size_t Scheduler::best_for_suspect(const Task& task, const std::vector<WorkerRoom>& rooms)
+size_t Scheduler::best_for_suspect(const Task& task,
+                                   const std::vector<PlacementOption>& rooms)
 {
     const bool likely = task.crashes.suspicion() == Suspicion::likely;
     const Millis patience = likely ? likely_patience : suspect_patience;
-    const bool patient = m_pass_begun - task.released_at < patience;
-    const bool closes = !likely || may_close_another();
+    const bool patient = m_pass_begun - task.requeued_at < patience;
+    const bool closes = !likely || may_isolate_another();
     using Key = std::tuple<bool, bool, bool, size_t, size_t>;
     std::optional<Key> best;
     for (size_t i = 0; i < rooms.size(); ++i) {
         const Worker& worker = *find_worker(std::string(rooms[i].worker));
-        const bool shared = !worker.on_trial.empty() || !closes
-            || (likely && m_pass_begun - worker.last_start < fresh_run);
+        const bool shared = !worker.active_suspects.empty() || !closes
+            || (likely && m_pass_begun - worker.last_start < startup_window);
         if (shared && patient)
             continue;
-        const Key key { shared, !worker.on_trial.empty(), rooms[i].second_choice,
-                        worker.load.occupants().size(), i };
+        const Key key { shared, !worker.active_suspects.empty(), rooms[i].second_choice,
+                        worker.load.allocations().size(), i };
         if (!best || key < *best)
             best = key;
     }
@@ -149,22 +151,22 @@
 // On a busy site no worker is quiet by itself, so one is kept from other starts until a
 // likely suspect can start there with nothing fresh beside it.
 void Scheduler::hold_for(const JobRecord& job, const Step& step, size_t index,
-                         const std::vector<WorkerRoom>& rooms)
+                         const std::vector<PlacementOption>& rooms)
 {
     const TaskId id { job.id(), step.repeat, step.index, static_cast<int>(index) };
     const bool likely = step.tasks[index].crashes.suspicion() == Suspicion::likely;
-    if (!likely || held_for(id.to_string()) != nullptr || !may_close_another())
+    if (!likely || held_for(id.to_string()) != nullptr || !may_isolate_another())
         return;
     Worker* best = nullptr;
-    for (const WorkerRoom& room : rooms) {
+    for (const PlacementOption& room : rooms) {
         Worker& worker = *find_worker(std::string(room.worker));
         const auto known = step.advice.workers.find(worker.number);
         const bool ticket_lasts = !job.accepted().queue.advice
             || (known != step.advice.workers.end()
-                && known->second.holds(worker.last_start + fresh_run));
+                && known->second.holds(worker.last_start + startup_window));
         const bool better = best == nullptr
-            || worker.load.occupants().size() < best->load.occupants().size();
-        if (ticket_lasts && worker.on_trial.empty() && better)
+            || worker.load.allocations().size() < best->load.allocations().size();
+        if (ticket_lasts && worker.active_suspects.empty() && better)
             best = &worker;
     }
     if (best == nullptr)
@@ -172,8 +174,8 @@
     best->held_for = id.to_string();
     best->held_until = m_pass_begun + longest_held;
     refresh_row(*best);
-    m_parts.loop.after(best->last_start + fresh_run - m_pass_begun,
-                       m_lifetime.wrap([this] { schedule_pass(); }));
+    m_context.loop.after(best->last_start + startup_window - m_pass_begun,
+                         m_lifetime.wrap([this] { schedule_pass(); }));
 }
 
 // Returns whether the task waits for the worker that is held for it, or has been given to
@@ -184,18 +186,18 @@
     Worker* held = held_for(id.to_string());
     if (held == nullptr)
         return false;
-    if (m_pass_begun - held->last_start < fresh_run)
+    if (m_pass_begun - held->last_start < startup_window)
         return true;
     held->held_until = Millis(0);
     refresh_row(*held);
     const auto known = step.advice.workers.find(held->number);
     const bool ticket_good = !job.accepted().queue.advice
         || (known != step.advice.workers.end() && known->second.holds(m_pass_begun));
-    const WorkerRoom room = room_on(*held, step, step.name(job.id()));
+    const PlacementOption room = option_on(*held, step, step.name(job.id()));
     if (!ticket_good || !is_eligible(*held, job, step)
         || tasks_that_fit(*step.spec, room) == 0)
         return false;
-    intend(job, step, { index }, { { held->session->id(), 1 } });
+    record_intent(job, step, { index }, { { held->session->id(), 1 } });
     return true;
 }
 
@@ -203,13 +205,13 @@
 // step may use.
 void Scheduler::place_suspects(JobRecord& job, Step& step,
                                const std::vector<size_t>& suspects,
-                               std::vector<WorkerRoom>& rooms)
+                               std::vector<PlacementOption>& rooms)
 {
     for (const size_t i : suspects) {
         if (place_on_held(job, step, i))
             continue;
-        std::vector<WorkerRoom> fitting;
-        for (const WorkerRoom& room : rooms) {
+        std::vector<PlacementOption> fitting;
+        for (const PlacementOption& room : rooms) {
             if (tasks_that_fit(*step.spec, room) > 0)
                 fitting.push_back(room);
         }
@@ -219,35 +221,35 @@
             continue;
         }
         const std::string worker(fitting[best].worker);
-        intend(job, step, { i }, { { worker, 1 } });
-        rooms.erase(
-            std::remove_if(rooms.begin(), rooms.end(),
-                           [&](const WorkerRoom& room) { return room.worker == worker; }),
-            rooms.end());
+        record_intent(job, step, { i }, { { worker, 1 } });
+        rooms.erase(std::remove_if(
+                        rooms.begin(), rooms.end(),
+                        [&](const PlacementOption& room) { return room.worker == worker; }),
+                    rooms.end());
     }
 }
 
 // A gang that has suspects stays away from those of others. Returns whether it waits for
 // room apart from them; else `rooms` are those that it may use.
-bool Scheduler::gang_waits_apart(const Step& step, int needed,
-                                 std::vector<WorkerRoom>& rooms)
+bool Scheduler::gang_awaits_isolation(const Step& step, int needed,
+                                      std::vector<PlacementOption>& rooms)
 {
     Millis released;
     Millis judged;
     bool has_suspect = false;
     for (const Task& task : step.tasks) {
         has_suspect = has_suspect || task.crashes.suspicion() != Suspicion::none;
-        released = std::max(released, task.released_at);
-        judged = std::max(judged, task.judged_at);
+        released = std::max(released, task.requeued_at);
+        judged = std::max(judged, task.verdict_at);
     }
     if (m_pass_begun < judged)
         return true;
     if (!has_suspect)
         return false;
-    std::vector<WorkerRoom> apart;
+    std::vector<PlacementOption> apart;
     int fit = 0;
-    for (const WorkerRoom& room : rooms) {
-        if (!find_worker(std::string(room.worker))->on_trial.empty())
+    for (const PlacementOption& room : rooms) {
+        if (!find_worker(std::string(room.worker))->active_suspects.empty())
             continue;
         apart.push_back(room);
         fit += tasks_that_fit(*step.spec, room);
@@ -257,7 +259,7 @@
         return false;
     }
     const bool enough = std::accumulate(rooms.begin(), rooms.end(), 0,
-                                        [&](int sum, const WorkerRoom& room) {
+                                        [&](int sum, const PlacementOption& room) {
                                             return sum + tasks_that_fit(*step.spec, room);
                                         })
         >= needed;
--- a/src/jobs.lib/scheduler_tick.cpp
+++ b/src/jobs.lib/scheduler_tick.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr Millis tick_interval = explanation_round;
+constexpr Millis tick_interval = explanation_round_interval;
 constexpr Millis load_interval { 2000 };
 /// A gang of which a member is missing is stopped so long before its members give up: a
 /// tick, the order and its repetition.
@@ -25,14 +25,14 @@
 
 void Scheduler::tick()
 {
-    if (m_phase == Phase::over)
+    if (m_phase == Phase::terminated)
         return;
-    if (m_phase == Phase::acting && may_order()) {
-        release_unknown_doubts();
-        forget_kept_ends();
+    if (m_phase == Phase::scheduling && orders_allowed()) {
+        release_expired_doubts();
+        drop_deferred_ends();
         m_explanations.begin_round(m_steps_waiting);
         // Read once: a reading for each step would cost more than most of the checks.
-        const Millis now = m_parts.loop.now();
+        const Millis now = m_context.loop.now();
         for (auto& [id, job] : m_jobs) {
             if (job->closed())
                 continue;
@@ -40,25 +40,25 @@
             for (auto& [number, repeat] : job->repeats()) {
                 for (Step& step : repeat.steps) {
                     check_gang(*job, step, now);
-                    check_standing(*job, step, now);
+                    check_stalled(*job, step, now);
                     leave_draining(*job, step);
                     check_listed(*job, step);
-                    explain_wait(*job, step, now);
+                    log_wait_reason(*job, step, now);
                 }
             }
         }
-        update_door();
+        update_admission();
         report_load();
         archive_closed();
         schedule_pass();
     }
-    m_parts.loop.after(tick_interval, m_lifetime.wrap([this] { tick(); }));
+    m_context.loop.after(tick_interval, m_lifetime.wrap([this] { tick(); }));
 }
 
 // One line every few seconds on how full the workers are and what waits.
 void Scheduler::report_load()
 {
-    const Millis now = m_parts.loop.now();
+    const Millis now = m_context.loop.now();
     if (now - m_load_reported < load_interval)
         return;
     m_load_reported = now;
@@ -76,14 +76,14 @@
         for (auto& [number, repeat] : job->repeats()) {
             for (Step& step : repeat.steps) {
                 const int count = step.count(TaskPhase::waiting);
-                if (count == 0 || job->closed() || !job->may_run(step))
+                if (count == 0 || job->closed() || !job->dependencies_met(step))
                     continue;
                 waiting += count;
                 waiting_gangs += step.spec->gang ? 1 : 0;
             }
         }
     }
-    const AdviceBacklog advice = m_parts.advice.backlog();
+    const AdviceBacklog advice = m_context.advice.backlog();
     log_event(LogLevel::info, "load",
               { { "epoch", m_claim.head.epoch },
                 { "workers", static_cast<int64_t>(m_workers.size()) },
@@ -110,7 +110,7 @@
 {
     if (!step.spec->gang || step.count(TaskPhase::waiting) == 0)
         return;
-    const Millis patience = m_parts.bounds.gang_timeout - gang_margin;
+    const Millis patience = m_context.bounds.gang_timeout - gang_margin;
     for (size_t i = 0; i < step.tasks.size(); ++i) {
         Task& task = step.tasks[i];
         if (task.phase != TaskPhase::running || now - task.placed_at < patience)
@@ -124,9 +124,9 @@
     }
 }
 
-void Scheduler::check_standing(JobRecord& job, Step& step, Millis now)
+void Scheduler::check_stalled(JobRecord& job, Step& step, Millis now)
 {
-    if (step.spec->lasting)
+    if (step.spec->long_running)
         return;
     for (size_t i = 0; i < step.tasks.size(); ++i) {
         Task& task = step.tasks[i];
@@ -146,9 +146,9 @@
                     { "worker", task.worker },
                     { "percent", task.percent },
                     { "for_ms", (now - task.percent_at).count() } });
-        note_surprise(*worker, job.id());
-        step.note_turned_away(task.worker, now);
-        worker->session->stop(id, task.run, StopReason::stands_still);
+        note_fault(*worker, job.id());
+        step.deprioritize(task.worker, now);
+        worker->session->stop(id, task.run, StopReason::stalled);
         task.phase = TaskPhase::stopping;
     }
 }
@@ -157,16 +157,16 @@
 // report of a later look doesn't list has gone without a listed end; the stop makes sure.
 void Scheduler::check_listed(JobRecord& job, Step& step)
 {
-    if (!step.spec->lasting)
+    if (!step.spec->long_running)
         return;
     for (size_t i = 0; i < step.tasks.size(); ++i) {
         Task& task = step.tasks[i];
         Worker* worker = find_worker(task.worker);
         if (task.phase != TaskPhase::running || worker == nullptr
-            || worker->session->known_as_of() <= task.listed_at)
+            || worker->session->last_full_report() <= task.listed_at)
             continue;
         worker->session->stop({ job.id(), step.repeat, step.index, static_cast<int>(i) },
-                              task.run, StopReason::stands_still);
+                              task.run, StopReason::stalled);
         task.phase = TaskPhase::stopping;
     }
 }
@@ -174,7 +174,7 @@
 // Lasting tasks leave a draining worker at once, since they can't end before it does.
 void Scheduler::leave_draining(JobRecord& job, Step& step)
 {
-    if (!step.spec->lasting)
+    if (!step.spec->long_running)
         return;
     for (size_t i = 0; i < step.tasks.size(); ++i) {
         Task& task = step.tasks[i];
@@ -183,7 +183,7 @@
             || !worker->session->info().draining)
             continue;
         worker->session->stop({ job.id(), step.repeat, step.index, static_cast<int>(i) },
-                              task.run, StopReason::worker_drains);
+                              task.run, StopReason::worker_draining);
         task.phase = TaskPhase::stopping;
     }
 }
--- a/src/jobs.lib/scheduler_unknown_jobs.cpp
+++ b/src/jobs.lib/scheduler_unknown_jobs.cpp
@@ -14,30 +14,30 @@
 
 namespace pathport::jobs {
 
-void Scheduler::keep_ends(const std::string& job, const Worker& worker,
-                          const LookReport& report, std::function<void()> done)
+void Scheduler::defer_ends(const std::string& job, const Worker& worker,
+                           const PollReport& report, std::function<void()> done)
 {
-    KeptEnds kept;
+    DeferredEnds kept;
     kept.worker = worker.session->id();
     kept.done = std::move(done);
-    kept.told = m_parts.loop.now();
+    kept.received_at = m_context.loop.now();
     for (const EndedTask& end : report.ended) {
         if (end.task.job == job)
             kept.ends.push_back(end);
     }
-    m_kept_ends[job].push_back(std::move(kept));
+    m_deferred_ends[job].push_back(std::move(kept));
     m_feed.poll_now();
 }
 
 // The job has become known.
-void Scheduler::take_kept_ends(const std::string& job)
+void Scheduler::apply_deferred_ends(const std::string& job)
 {
-    const auto found = m_kept_ends.find(job);
-    if (found == m_kept_ends.end())
+    const auto found = m_deferred_ends.find(job);
+    if (found == m_deferred_ends.end())
         return;
-    const std::vector<KeptEnds> all = std::move(found->second);
-    m_kept_ends.erase(found);
-    for (const KeptEnds& kept : all) {
+    const std::vector<DeferredEnds> all = std::move(found->second);
+    m_deferred_ends.erase(found);
+    for (const DeferredEnds& kept : all) {
         Worker* worker = find_worker(kept.worker);
         bool changed = false;
         for (const EndedTask& end : kept.ends)
@@ -50,29 +50,29 @@
 }
 
 // A job that the feed has not brought by now was closed and archived by an earlier leader.
-void Scheduler::forget_kept_ends()
+void Scheduler::drop_deferred_ends()
 {
-    for (auto entry = m_kept_ends.begin(); entry != m_kept_ends.end();) {
-        if (m_feed.known_at() <= entry->second.back().told) {
+    for (auto entry = m_deferred_ends.begin(); entry != m_deferred_ends.end();) {
+        if (m_feed.known_at() <= entry->second.back().received_at) {
             ++entry;
             continue;
         }
-        const std::vector<KeptEnds> all = std::move(entry->second);
+        const std::vector<DeferredEnds> all = std::move(entry->second);
         log_event(LogLevel::info, "ends_of_unknown_job",
                   { { "job", entry->first }, { "reports", int64_t(all.size()) } });
-        entry = m_kept_ends.erase(entry);
-        for (const KeptEnds& kept : all)
+        entry = m_deferred_ends.erase(entry);
+        for (const DeferredEnds& kept : all)
             kept.done();
     }
 }
 
 // Runs that were stopped because nothing was known of their job still hold its tasks.
-void Scheduler::join_stray_runs(JobRecord& job)
+void Scheduler::attach_stray_runs(JobRecord& job)
 {
     if (m_stray_jobs.erase(job.id()) == 0)
         return;
     for (const auto& [id, worker] : m_workers) {
-        for (const auto& [name, occupant] : worker.load.occupants()) {
+        for (const auto& [name, occupant] : worker.load.allocations()) {
             const auto task_id = TaskId::parse(name);
             Task* task = task_id && task_id->job == job.id() ? job.task(*task_id) : nullptr;
             if (task == nullptr || task->phase != TaskPhase::waiting)
--- a/src/jobs.lib/scheduler_lives.cpp
+++ b/src/jobs.lib/scheduler_worker_lifecycle.cpp
@@ -21,19 +21,19 @@
 
 } // namespace
 
-void Scheduler::take_workers(const std::vector<WorkerInfo>& listed)
+void Scheduler::update_workers(const std::vector<WorkerInfo>& listed)
 {
-    end_succeeded(listed);
+    end_replaced(listed);
     std::set<std::string> present;
     for (const WorkerInfo& info : listed) {
         // The list may be behind what the next life has answered itself.
-        if (m_ended_lives.count(info.id) > 0)
+        if (m_ended_incarnations.count(info.id) > 0)
             continue;
         // Another writer's entry is no worker: a call to it would go to a stranger.
         if (m_workers.count(info.id) == 0 && !is_used(info.service))
             continue;
         present.insert(info.id);
-        take_worker(info);
+        update_worker(info);
     }
     std::vector<std::string> gone;
     for (auto& [id, worker] : m_workers) {
@@ -45,7 +45,7 @@
     schedule_pass();
 }
 
-void Scheduler::take_worker(const WorkerInfo& info)
+void Scheduler::update_worker(const WorkerInfo& info)
 {
     Worker& worker = m_workers[info.id];
     worker.listed = true;
@@ -59,27 +59,29 @@
         return;
     }
     if (m_phase != Phase::loading)
-        inherit(info.id);
-    worker.number = m_rooms.add();
-    m_numbered.push_back(&worker);
+        inherit_from_previous(info.id);
+    worker.number = m_capacity_table.add();
+    m_workers_by_number.push_back(&worker);
     worker.session = std::make_unique<WorkerSession>(
-        m_parts.loop, m_parts.workers, *this, info, m_claim.head.epoch, m_ended_fence,
-        m_parts.bounds, std::max(unknown_until(info.id), strays_until(info.id)),
-        m_parts.mechanisms);
+        m_context.loop, m_context.workers, *this, info, m_claim.head.epoch, m_ended_fence,
+        m_context.bounds,
+        std::max(earlier_leases_until(info.id), unconfirmed_until(info.id)),
+        m_context.mechanisms);
     refresh_row(worker);
     if (m_phase != Phase::loading)
-        worker.session->begin();
+        worker.session->start_polling();
 }
 
 // A worker has one life at a time: those of which the list names another one are over.
-void Scheduler::end_succeeded(const std::vector<WorkerInfo>& listed)
+void Scheduler::end_replaced(const std::vector<WorkerInfo>& listed)
 {
     std::set<std::string> ids;
     for (const WorkerInfo& info : listed)
         ids.insert(info.id);
     // What the list names no more won't come back.
-    for (auto ended = m_ended_lives.begin(); ended != m_ended_lives.end();)
-        ended = ids.count(*ended) == 0 ? m_ended_lives.erase(ended) : std::next(ended);
+    for (auto ended = m_ended_incarnations.begin(); ended != m_ended_incarnations.end();)
+        ended
+            = ids.count(*ended) == 0 ? m_ended_incarnations.erase(ended) : std::next(ended);
     std::vector<std::string> missing;
     for (const auto& [id, worker] : m_workers) {
         if (ids.count(id) == 0)
@@ -89,12 +91,12 @@
         return;
     std::set<std::string> names;
     for (const std::string& id : ids) {
-        if (m_ended_lives.count(id) == 0)
-            names.insert(WorkerLife::parse(id).name);
+        if (m_ended_incarnations.count(id) == 0)
+            names.insert(WorkerIncarnation::parse(id).name);
     }
     for (const std::string& id : missing) {
-        if (names.count(WorkerLife::parse(id).name) > 0)
-            m_workers[id].session->succeeded();
+        if (names.count(WorkerIncarnation::parse(id).name) > 0)
+            m_workers[id].session->mark_replaced();
     }
 }
 
@@ -106,9 +108,9 @@
     worker.listed = false;
     refresh_row(worker);
     if (worker.session->info().draining)
-        worker.session->left();
+        worker.session->mark_left();
     if (worker.session->silent())
-        settle_lapsed(id);
+        attribute_lapsed_runs(id);
     if (worker.load.empty())
         end_session(worker);
 }
@@ -120,18 +122,18 @@
 {
     // The session may be in a call of its own.
     std::shared_ptr<WorkerSession> ended(std::move(worker.session));
-    if (ended->silent() && !ended->reborn())
-        note_ended(*ended, ended->lapses_at());
+    if (ended->silent() && !ended->replaced())
+        note_session_end(*ended, ended->lease_expires_at());
     m_ended_fence = std::max(m_ended_fence, ended->fence() + 1);
-    m_rooms.drop(worker.number);
-    m_numbered[worker.number] = nullptr;
+    m_capacity_table.close_row(worker.number);
+    m_workers_by_number[worker.number] = nullptr;
     m_workers.erase(ended->id());
-    m_parts.loop.after(Millis(0), [ended] {});
+    m_context.loop.after(Millis(0), [ended] {});
 }
 
 // All that was placed on the worker is placed anew, but for what is in doubt there if
 // `keep_doubts`.
-void Scheduler::release_all(Worker& worker, const char* reason, bool keep_doubts)
+void Scheduler::release_tasks(Worker& worker, const char* reason, bool keep_doubts)
 {
     int64_t released = 0;
     discharge_all(worker);
@@ -160,28 +162,28 @@
     schedule_pass();
 }
 
-void Scheduler::life_over(WorkerSession& session)
+void Scheduler::incarnation_ended(WorkerSession& session)
 {
     Worker* worker = find_worker(session.id());
     if (worker == nullptr)
         return;
     const std::vector<LostRun> lost = runs_on(*worker);
-    const char* const reason = session.reborn() ? "reborn" : "life_over";
-    if (session.reborn()) {
-        m_ended_lives.insert(session.id());
-        keep_strays(session);
+    const char* const reason = session.replaced() ? "reborn" : "life_over";
+    if (session.replaced()) {
+        m_ended_incarnations.insert(session.id());
+        keep_unconfirmed_starts(session);
     } else {
         // The rows may name the life on, and the next leader can't ask it.
-        note_ended(session, m_parts.loop.now());
+        note_session_end(session, m_context.loop.now());
         resolve_unrecorded(session.id());
     }
-    release_all(*worker, reason, session.reborn());
-    settle_lapsed(session.id());
+    release_tasks(*worker, reason, session.replaced());
+    attribute_lapsed_runs(session.id());
     // One that had announced its end did not crash.
     if (!session.info().draining)
-        hold_against(lost, session.id(), reason, Loss::crash);
+        attribute_loss(lost, session.id(), reason, Loss::crash);
     end_session(*worker);
-    settle();
+    activate_when_ready();
 }
 
 // An order to a life goes to whichever one has its name when it arrives: the next life may
@@ -189,14 +191,14 @@
 // earlier leaders sent if it has not reported to this one. Placed anew at once, such a task
 // would run twice, so it waits for that life's first report, or until all leases have
 // ended.
-void Scheduler::keep_strays(const WorkerSession& session)
+void Scheduler::keep_unconfirmed_starts(const WorkerSession& session)
 {
     const std::string& id = session.id();
-    const Millis now = m_parts.loop.now();
+    const Millis now = m_context.loop.now();
     // While the rows are being read, they may yet put tasks there.
     const bool of_earlier_leaders = m_phase == Phase::loading || m_in_doubt.count(id) > 0
         || m_unresolved.count(id) > 0;
-    Millis until = of_earlier_leaders ? std::max(now, m_unknown_until) : now;
+    Millis until = of_earlier_leaders ? std::max(now, m_earlier_leases_until) : now;
     int64_t kept = 0;
     for (const TaskRun& start : session.unconfirmed_starts()) {
         JobRecord* job = find_job(start.task.job);
@@ -211,13 +213,13 @@
     }
     if (kept > 0)
         until = std::max(until,
-                         now + longest_by_our_clock(m_parts.bounds.max_hold) + order_way);
+                         now + max_local_duration(m_context.bounds.max_lease) + order_way);
     // The rows may name this life on, and the next leader can't ask it.
     if (store_clock_known())
-        m_unreached.set(id, m_parts.store_clock->latest_at(until));
+        m_silent_workers.set(id, m_context.store_clock->latest_at(until));
     if (until <= now)
         return;
-    m_strays_until[id] = until;
+    m_unconfirmed_until[id] = until;
     log_event(LogLevel::info, "strays_kept",
               { { "worker", id },
                 { "tasks", kept },
@@ -225,19 +227,19 @@
                 { "until_in_ms", (until - now).count() } });
 }
 
-Millis Scheduler::strays_until(const std::string& worker) const
+Millis Scheduler::unconfirmed_until(const std::string& worker) const
 {
-    const auto found = m_strays_until.find(worker);
-    return found == m_strays_until.end() ? Millis(0) : found->second;
+    const auto found = m_unconfirmed_until.find(worker);
+    return found == m_unconfirmed_until.end() ? Millis(0) : found->second;
 }
 
 // What may run at an earlier life of the worker's name runs at this one or not at all: its
 // first report tells.
-void Scheduler::inherit(const std::string& id)
+void Scheduler::inherit_from_previous(const std::string& id)
 {
-    const std::string name = WorkerLife::parse(id).name;
+    const std::string name = WorkerIncarnation::parse(id).name;
     const auto is_earlier = [&](const std::string& other) {
-        return other != id && WorkerLife::parse(other).name == name;
+        return other != id && WorkerIncarnation::parse(other).name == name;
     };
     // Ids of lives begin with the name, so they stand together, among those of longer
     // names.
@@ -250,7 +252,7 @@
             ++doubts;
             continue;
         }
-        inherit_doubts(doubts->first, id, doubts->second);
+        inherit_in_doubt(doubts->first, id, doubts->second);
         doubts = m_in_doubt.erase(doubts);
     }
     for (auto earlier = m_unresolved.lower_bound(name);
@@ -264,8 +266,8 @@
     }
 }
 
-void Scheduler::inherit_doubts(const std::string& earlier, const std::string& id,
-                               const std::vector<TaskId>& tasks)
+void Scheduler::inherit_in_doubt(const std::string& earlier, const std::string& id,
+                                 const std::vector<TaskId>& tasks)
 {
     std::vector<LostRun> lost;
     for (const TaskId& name : tasks) {
@@ -281,27 +283,27 @@
     // What this life does not have went down with the earlier one; what it has is taken
     // back.
     if (!lost.empty())
-        hold_against(lost, earlier, "reborn", Loss::crash);
-    const Millis until = strays_until(earlier);
-    m_strays_until.erase(earlier);
+        attribute_loss(lost, earlier, "reborn", Loss::crash);
+    const Millis until = unconfirmed_until(earlier);
+    m_unconfirmed_until.erase(earlier);
     if (until > Millis(0))
-        m_strays_until[id] = std::max(until, strays_until(id));
+        m_unconfirmed_until[id] = std::max(until, unconfirmed_until(id));
     log_event(LogLevel::info, "doubts_inherited",
               { { "worker", id },
                 { "from", earlier },
                 { "tasks", static_cast<int64_t>(tasks.size()) } });
 }
 
-void Scheduler::lease_lapsed(WorkerSession& session)
+void Scheduler::lease_expired(WorkerSession& session)
 {
     Worker* worker = find_worker(session.id());
     if (worker == nullptr)
         return;
     std::vector<LostRun> lost = runs_on(*worker);
-    release_all(*worker, "lease_lapsed", false);
+    release_tasks(*worker, "lease_lapsed", false);
     if (!session.info().draining)
-        hold_lapsed(session.id(), std::move(lost), worker->listed,
-                    session.refuses() ? Loss::crash : Loss::silence);
+        note_lapsed_runs(session.id(), std::move(lost), worker->listed,
+                         session.refuses_connections() ? Loss::crash : Loss::silence);
     resolve_unrecorded(session.id());
     if (!worker->listed)
         end_session(*worker);
--- a/src/jobs.lib/silent_paths_test.cpp
+++ b/src/jobs.lib/silent_paths_test.cpp
@@ -32,10 +32,10 @@
         : cell(seed, nodes, workers)
     {
         add_queues(cell);
-        cell.world.run_for(Millis(6000 + int64_t(cell.world.below(500))));
+        cell.world.run_for(Millis(6000 + int64_t(cell.world.random_below(500))));
     }
 
-    void silence() { cell.silence_connections(most_kept); }
+    void silence() { cell.blackhole_connections(most_kept); }
 
     /// Returns how many nodes go by the present configuration.
     int nodes_up_to_date()
@@ -53,7 +53,7 @@
 
 } // namespace
 
-BOOST_TEST_GLOBAL_FIXTURE(QuietLog);
+BOOST_TEST_GLOBAL_FIXTURE(LogFixture);
 
 BOOST_AUTO_TEST_CASE(configuration_is_in_force_soon_everywhere)
 {
@@ -79,7 +79,7 @@
         for (int i = 0; i < times; ++i) {
             silenced.silence();
             silenced.cell.world.run_for(
-                Millis(4000 + int64_t(silenced.cell.world.below(700))));
+                Millis(4000 + int64_t(silenced.cell.world.random_below(700))));
         }
         BOOST_TEST(epoch_of(silenced.cell) == epoch, "seed " << seed);
     }
@@ -92,16 +92,16 @@
     for (uint64_t seed = first_seed; seed < first_seed + seeds; ++seed) {
         SilencedCell silenced(seed);
         Cell& cell = silenced.cell;
-        submit_plain(cell, "long", small_facts(8, 60000));
+        submit_plain(cell, "long", small_step(8, 60000));
         cell.world.run_for(Millis(2000));
-        BOOST_REQUIRE(cell.workers.runs_any("long"));
+        BOOST_REQUIRE(cell.workers.has_running_task("long"));
         silenced.silence();
         cell.cancel("long");
         for (int i = 0; i < 40 && !cell.jobs().at("long").canceled; ++i)
             cell.world.run_for(Millis(50));
         BOOST_TEST(cell.jobs().at("long").canceled, "seed " << seed);
         cell.world.run_for(stopped_in);
-        BOOST_TEST(!cell.workers.runs_any("long"), "seed " << seed);
+        BOOST_TEST(!cell.workers.has_running_task("long"), "seed " << seed);
     }
 }
 
@@ -114,11 +114,11 @@
         for (int i = 0; i < jobs; ++i) {
             if (i % 10 == 5)
                 silenced.silence();
-            submit_plain(cell, "job" + std::to_string(i), small_facts(3, 300));
+            submit_plain(cell, "job" + std::to_string(i), small_step(3, 300));
             cell.world.run_for(Millis(200));
         }
         cell.world.run_for(Millis(8000));
-        const auto wrong = cell.verdict();
-        BOOST_TEST(wrong.empty(), "seed " << seed << joined(wrong));
+        const auto wrong = cell.final_violations();
+        BOOST_TEST(wrong.empty(), "seed " << seed << join_lines(wrong));
     }
 }
--- a/src/jobs.lib/silent_workers.cpp
+++ b/src/jobs.lib/silent_workers.cpp
@@ -22,24 +22,24 @@
 }
 } // namespace
 
-std::optional<int64_t> SilentWorkers::over_ms(const std::string& worker) const
+std::optional<int64_t> SilentWorkers::lease_end_ms(const std::string& worker) const
 {
-    const auto found = m_over.find(worker);
-    if (found == m_over.end())
+    const auto found = m_lease_ends.find(worker);
+    if (found == m_lease_ends.end())
         return std::nullopt;
     return found->second;
 }
 
-void SilentWorkers::forget_before(int64_t clock_ms)
+void SilentWorkers::erase_before(int64_t clock_ms)
 {
-    for (auto entry = m_over.begin(); entry != m_over.end();)
-        entry = entry->second < clock_ms ? m_over.erase(entry) : std::next(entry);
+    for (auto entry = m_lease_ends.begin(); entry != m_lease_ends.end();)
+        entry = entry->second < clock_ms ? m_lease_ends.erase(entry) : std::next(entry);
 }
 
-void SilentWorkers::limit(size_t bytes)
+void SilentWorkers::truncate_to(size_t bytes)
 {
     std::vector<std::pair<int64_t, std::string>> latest_first;
-    for (const auto& [worker, over] : m_over)
+    for (const auto& [worker, over] : m_lease_ends)
         latest_first.emplace_back(over, worker);
     std::sort(latest_first.rbegin(), latest_first.rend());
     size_t taken = 0;
@@ -50,14 +50,14 @@
         group = rounded_up(over);
         taken += worker.size() + bytes_beside_id;
         if (taken > bytes)
-            m_over.erase(worker);
+            m_lease_ends.erase(worker);
     }
 }
 
 std::vector<SilentWorkers::Group> SilentWorkers::grouped() const
 {
     std::map<int64_t, std::vector<std::string>> groups;
-    for (const auto& [worker, over] : m_over)
+    for (const auto& [worker, over] : m_lease_ends)
         groups[rounded_up(over)].push_back(worker);
     return { groups.begin(), groups.end() };
 }
--- a/src/jobs.lib/silent_workers.h
+++ b/src/jobs.lib/silent_workers.h
@@ -22,18 +22,21 @@
     /// Workers with the same time.
     using Group = std::pair<int64_t, std::vector<std::string>>;
 
-    void set(const std::string& worker, int64_t over_ms) { m_over[worker] = over_ms; }
-    void erase(const std::string& worker) { m_over.erase(worker); }
-    bool empty() const { return m_over.empty(); }
-    size_t size() const { return m_over.size(); }
-    bool names(const std::string& worker) const { return m_over.count(worker) > 0; }
+    void set(const std::string& worker, int64_t over_ms) { m_lease_ends[worker] = over_ms; }
+    void erase(const std::string& worker) { m_lease_ends.erase(worker); }
+    bool empty() const { return m_lease_ends.empty(); }
+    size_t size() const { return m_lease_ends.size(); }
+    bool contains(const std::string& worker) const
+    {
+        return m_lease_ends.count(worker) > 0;
+    }
     /// Returns when all that was leased to `worker` has ended; nothing if it is not named.
-    std::optional<int64_t> over_ms(const std::string& worker) const;
+    std::optional<int64_t> lease_end_ms(const std::string& worker) const;
 
     /// Forgets those whose leases ended before this time.
-    void forget_before(int64_t clock_ms);
+    void erase_before(int64_t clock_ms);
     /// Forgets those whose leases ended first, until the others take so many bytes at most.
-    void limit(size_t bytes);
+    void truncate_to(size_t bytes);
 
     /// Returns them in few groups, for a short row; none comes before its time so.
     std::vector<Group> grouped() const;
@@ -41,10 +44,13 @@
     /// Returns what is left of these after they have been grouped.
     SilentWorkers rounded() const { return from_groups(grouped()); }
 
-    bool operator==(const SilentWorkers& other) const { return m_over == other.m_over; }
+    bool operator==(const SilentWorkers& other) const
+    {
+        return m_lease_ends == other.m_lease_ends;
+    }
 
 private:
-    std::map<std::string, int64_t> m_over; ///< By worker.
+    std::map<std::string, int64_t> m_lease_ends; ///< By worker.
 };
 
 } // namespace pathport::jobs
--- a/src/jobs.lib/silent_workers_test.cpp
+++ b/src/jobs.lib/silent_workers_test.cpp
@@ -43,10 +43,10 @@
     explicit BusyCell(uint64_t seed)
         : cell(seed, 5, 6)
     {
-        cell.workers.trouble.dead_are_silent = true;
+        cell.workers.injected.dead_are_unresponsive = true;
         cell.world.run_for(Millis(2000));
         for (int i = 0; i < tasks; ++i)
-            submit_plain(cell, name(i), small_facts(1, endless_ms));
+            submit_plain(cell, name(i), small_step(1, endless_ms));
         cell.world.run_for(Millis(2000 + int64_t(seed) * 37));
     }
     static std::string name(int number) { return "job" + std::to_string(number); }
@@ -54,7 +54,7 @@
     {
         int count = 0;
         for (int i = 0; i < tasks; ++i)
-            count += cell.workers.runs_any(name(i)) ? 1 : 0;
+            count += cell.workers.has_running_task(name(i)) ? 1 : 0;
         return count;
     }
     /// Kills whoever leads at each of these times from now on, and runs to the last one.
@@ -76,7 +76,7 @@
 
 void vanish(Cell& cell, const std::string& worker)
 {
-    cell.workers.vanish(worker);
+    cell.workers.partition_for_good(worker);
 }
 
 void crash(Cell& cell, const std::string& worker)
@@ -95,8 +95,8 @@
         silence(busy.cell, worker);
     busy.kill_leaders(kills_ms);
     busy.run_until(begun + bound);
-    const auto wrong = busy.cell.workers.breaches();
-    BOOST_TEST(wrong.empty(), "seed " << seed << joined(wrong));
+    const auto wrong = busy.cell.workers.violations();
+    BOOST_TEST(wrong.empty(), "seed " << seed << join_lines(wrong));
     return busy.running();
 }
 
@@ -109,23 +109,24 @@
 {
     BusyCell busy(seed);
     Cell& cell = busy.cell;
-    const auto below
-        = [&cell](uint64_t bound) { return Millis(int64_t(cell.world.below(bound))); };
-    cell.store.trouble.slow = slow;
+    const auto below = [&cell](uint64_t bound) {
+        return Millis(int64_t(cell.world.random_below(bound)));
+    };
+    cell.store.injected.latency_factor = slow;
     cell.world.run_for(Millis(slow > 1 ? 2000 : 0));
     const std::string leader = cell.leader();
     for (const char* const worker : { "w1", "w2", "w3" })
-        cell.workers.cut(worker, Millis(1500) + below(1200), leader);
+        cell.workers.partition(worker, Millis(1500) + below(1200), leader);
     cell.world.run_for(Millis(1400)); // It has been lost by then, and the row says so.
-    cell.store.trouble.busy = outage > Millis(0);
+    cell.store.injected.refuse_calls = outage > Millis(0);
     cell.world.run_for(Millis(1300) + outage + below(700));
     for (const char* const worker : { "w1", "w2", "w3" })
-        cell.workers.cut(worker, Millis(60000));
+        cell.workers.partition(worker, Millis(60000));
     cell.kill(leader, Millis(20000));
-    cell.store.trouble.busy = false;
-    cell.store.trouble.slow = 1;
+    cell.store.injected.refuse_calls = false;
+    cell.store.injected.latency_factor = 1;
     cell.world.run_for(Millis(15000));
-    std::vector<std::string> wrong = cell.workers.breaches();
+    std::vector<std::string> wrong = cell.workers.violations();
     if (busy.running() < busy.tasks)
         wrong.push_back(std::to_string(busy.running()) + " tasks run");
     return wrong;
@@ -133,7 +134,7 @@
 
 } // namespace
 
-BOOST_TEST_GLOBAL_FIXTURE(QuietLog);
+BOOST_TEST_GLOBAL_FIXTURE(LogFixture);
 
 BOOST_AUTO_TEST_CASE(tasks_on_silent_workers_wait_for_one_lease_over_all_leaders)
 {
@@ -167,8 +168,8 @@
             busy.run_until(begun + one_bound);
             BOOST_TEST(epoch_of(cell) == epoch + 3);
             BOOST_TEST(busy.running() == busy.tasks, "seed " << seed);
-            const auto wrong = cell.workers.breaches();
-            BOOST_TEST(wrong.empty(), "seed " << seed << joined(wrong));
+            const auto wrong = cell.workers.violations();
+            BOOST_TEST(wrong.empty(), "seed " << seed << join_lines(wrong));
         }
     }
 }
@@ -194,7 +195,7 @@
         for (const int64_t slow : { 1, 40, 80 }) {
             const auto wrong = lose_a_worker_twice(seed, slow, Millis(0));
             BOOST_TEST(wrong.empty(),
-                       "seed " << seed << ", slow " << slow << joined(wrong));
+                       "seed " << seed << ", slow " << slow << join_lines(wrong));
         }
     }
 }
@@ -205,6 +206,6 @@
 {
     for (uint64_t seed = 1; seed <= 40; ++seed) {
         const auto wrong = lose_a_worker_twice(seed, 1, Millis(6000));
-        BOOST_TEST(wrong.empty(), "seed " << seed << joined(wrong));
+        BOOST_TEST(wrong.empty(), "seed " << seed << join_lines(wrong));
     }
 }
--- a/src/jobs.lib/take_over_fixture.h
+++ b/src/jobs.lib/single_worker_fixture.h
@@ -21,11 +21,11 @@
 namespace pathport::jobs {
 
 /// A worker whose answers are given by hand.
-class HeldWorker : public WorkerClient {
+class ManualWorker : public WorkerClient {
 public:
     std::vector<
-        std::pair<LookOrder, std::function<void(OrderStatus, std::optional<LookReport>)>>>
-        looks;
+        std::pair<PollRequest, std::function<void(OrderStatus, std::optional<PollReport>)>>>
+        polls;
     std::vector<std::function<void(OrderAnswer)>> starts;
     void start(const WorkerInfo&, const StartOrder&, Millis,
                std::function<void(OrderAnswer)> done) override
@@ -40,14 +40,14 @@
         ++stops;
         stop_orders.push_back(order);
     }
-    void pace(const WorkerInfo&, const RunOrder&, Millis,
-              std::function<void(OrderAnswer)>) override
+    void set_speed(const WorkerInfo&, const RunOrder&, Millis,
+                   std::function<void(OrderAnswer)>) override
     {
     }
-    void look(const WorkerInfo&, const LookOrder& order, Millis,
-              std::function<void(OrderStatus, std::optional<LookReport>)> done) override
+    void poll(const WorkerInfo&, const PollRequest& order, Millis,
+              std::function<void(OrderStatus, std::optional<PollReport>)> done) override
     {
-        looks.emplace_back(order, std::move(done));
+        polls.emplace_back(order, std::move(done));
     }
 };
 
@@ -58,36 +58,36 @@
 };
 
 /// Counts what a session concludes.
-class Heard : public SessionListener {
+class RecordingListener : public SessionListener {
 public:
-    int over = 0;
-    int lapsed = 0;
-    int gone = 0;
-    bool may_order() const override { return true; }
-    void answer_missing() override { ++missing; }
-    bool answers_go_missing() const override { return missing > 0; }
-    bool may_lease(const WorkerSession&) const override { return true; }
-    void lost(WorkerSession&) override { }
-    int missing = 0; ///< Calls that were not answered.
-    void reported(WorkerSession&, const LookReport&, ReportStage) override { }
-    void life_over(WorkerSession&) override { ++over; }
-    void lease_lapsed(WorkerSession&) override { ++lapsed; }
-    void run_gone(WorkerSession&, const TaskId&, int64_t) override { ++gone; }
+    int incarnations_ended = 0;
+    int leases_lapsed = 0;
+    int runs_gone = 0;
+    bool orders_allowed() const override { return true; }
+    void call_timed_out() override { ++missing_answers; }
+    bool has_recent_timeouts() const override { return missing_answers > 0; }
+    bool may_renew_lease(const WorkerSession&) const override { return true; }
+    void worker_lost(WorkerSession&) override { }
+    int missing_answers = 0; ///< Calls that were not answered.
+    void report_received(WorkerSession&, const PollReport&, ReportStage) override { }
+    void incarnation_ended(WorkerSession&) override { ++incarnations_ended; }
+    void lease_expired(WorkerSession&) override { ++leases_lapsed; }
+    void run_gone(WorkerSession&, const TaskId&, int64_t) override { ++runs_gone; }
     void fenced_off(WorkerSession&) override { }
 };
 
-inline LookReport report_at(Millis now)
+inline PollReport report_at(Millis now)
 {
-    LookReport report;
+    PollReport report;
     report.clock_ms = now.count();
     return report;
 }
 
 /// Returns as many ends of other tasks as a report lists at most (PROTOCOL.md).
-inline LookReport full_report_at(Millis now)
+inline PollReport full_report_at(Millis now)
 {
     constexpr int listed_at_most = 500;
-    LookReport report = report_at(now);
+    PollReport report = report_at(now);
     for (int i = 1; i <= listed_at_most; ++i) {
         EndedTask end;
         end.number = i;
@@ -99,7 +99,7 @@
 }
 
 /// A scheduler that takes over the job "job1", whose task runs as run 7 on its only worker.
-struct TakeOver {
+struct SingleWorkerTakeOver {
     emulator::World world { 3 };
     emulator::Store store { world };
     emulator::ProcessLoop loop { world };
@@ -109,13 +109,13 @@
     NoPeers peers;
     AdvicePool advice { loop, advisor, peers };
     Metrics metrics;
-    HeldWorker worker;
+    ManualWorker worker;
     const TaskId task { "job1", 0, 0, 0 };
     static constexpr int64_t run = 7;
     std::unique_ptr<Scheduler> scheduler;
 
     /// The list may name a worker of a service that the operators don't know as well.
-    explicit TakeOver(bool lists_stranger = false)
+    explicit SingleWorkerTakeOver(bool lists_stranger = false)
     {
         WorkerInfo info;
         info.id = "w1";
@@ -130,24 +130,24 @@
         store.list_workers = [listed] { return listed; };
         const Claim claim { HeadValue { 1, 0, "x", {} }, put_rows(), world.now(),
                             world.now() };
-        SchedulerParts parts { loop,
-                               port,
-                               port,
-                               worker,
-                               advice,
-                               [] { return int64_t(0); },
-                               [] { return int64_t(0); },
-                               metrics,
-                               WorkerBounds() };
+        SchedulerContext parts { loop,
+                                 port,
+                                 port,
+                                 worker,
+                                 advice,
+                                 [] { return int64_t(0); },
+                                 [] { return int64_t(0); },
+                                 metrics,
+                                 WorkerTimeouts() };
         parts.knows_service = [](const std::string& service) { return service == "s"; };
         scheduler = std::make_unique<Scheduler>(parts, claim, [] {});
         scheduler->begin();
         world.run_for(Millis(100));
     }
     /// Answers the last look; then the worker has nothing to tell for a while.
-    void report(const LookReport& report)
+    void report(const PollReport& report)
     {
-        worker.looks.back().second(OrderStatus::accepted, report);
+        worker.polls.back().second(OrderStatus::accepted, report);
         world.run_for(Millis(1000));
     }
 
--- a/src/jobs.lib/store_clock.cpp
+++ b/src/jobs.lib/store_clock.cpp
@@ -13,7 +13,7 @@
 constexpr Millis clock_margin { 20 };
 } // namespace
 
-void StoreClock::note(int64_t clock_ms, Millis asked, Millis received)
+void StoreClock::update(int64_t clock_ms, Millis asked, Millis received)
 {
     const bool old = received - m_received > answer_life;
     const bool quicker = received - asked <= m_received - m_asked;
--- a/src/jobs.lib/store_clock.h
+++ b/src/jobs.lib/store_clock.h
@@ -18,7 +18,7 @@
 class StoreClock {
 public:
     /// Takes what an answer says: `clock_ms`, asked for at `asked` and received now.
-    void note(int64_t clock_ms, Millis asked, Millis received);
+    void update(int64_t clock_ms, Millis asked, Millis received);
     /// Returns whether any answer has told.
     bool known() const { return m_clock_ms > 0; }
     /// Returns what the store's clock shows at the local time `time`, at most.
--- a/src/jobs.lib/store_clock_test.cpp
+++ b/src/jobs.lib/store_clock_test.cpp
@@ -26,7 +26,8 @@
     /// Takes an answer for which the store read its clock at `store_ms`.
     void answer(int64_t store_ms, int64_t way_there_ms, int64_t way_back_ms)
     {
-        clock.note(store_ms, local(store_ms - way_there_ms), local(store_ms + way_back_ms));
+        clock.update(store_ms, local(store_ms - way_there_ms),
+                     local(store_ms + way_back_ms));
     }
 };
 
@@ -91,7 +92,7 @@
     BOOST_TEST((rounded == rounded.rounded()));
     for (int i = 0; i < 500; ++i) {
         const std::string worker = "w" + std::to_string(i);
-        BOOST_TEST(*rounded.over_ms(worker) >= *silent.over_ms(worker));
-        BOOST_TEST(*rounded.over_ms(worker) < *silent.over_ms(worker) + 50);
+        BOOST_TEST(*rounded.lease_end_ms(worker) >= *silent.lease_end_ms(worker));
+        BOOST_TEST(*rounded.lease_end_ms(worker) < *silent.lease_end_ms(worker) + 50);
     }
 }
--- a/src/jobs.lib/store_health.cpp
+++ b/src/jobs.lib/store_health.cpp
@@ -45,7 +45,7 @@
 {
 }
 
-StoreReply StoreHealth::noting(StoreReply done, const char* call, bool waits)
+StoreReply StoreHealth::instrument(StoreReply done, const char* call, bool waits)
 {
     const int64_t begun = m_loop.now().count();
     if (!waits)
@@ -55,7 +55,7 @@
             if (!waits)
                 m_open.erase(m_open.find(begun));
             if (!waits && result.clock_ms > 0)
-                m_clock.note(result.clock_ms, Millis(begun), m_loop.now());
+                m_clock.update(result.clock_ms, Millis(begun), m_loop.now());
             m_metrics.observe_seconds(
                 "pathport_store_call_seconds", double(m_loop.now().count() - begun) / 1000,
                 { { "call", call }, { "outcome", to_string(result.status) } });
@@ -120,7 +120,7 @@
 {
     StoreRange range;
     range.table = lead_table;
-    range.part = scheduler_part;
+    range.partition = scheduler_partition;
     range.limit = 1;
     read(range, probe_timeout,
          [served_now = std::move(served_now)](const StoreResult& result) {
@@ -131,18 +131,18 @@
 
 void StoreHealth::write(const StoreWrite& write, Millis timeout, StoreReply done)
 {
-    m_store.write(write, timeout, noting(std::move(done), "write", false));
+    m_store.write(write, timeout, instrument(std::move(done), "write", false));
 }
 
 void StoreHealth::read(const StoreRange& range, Millis timeout, StoreReply done)
 {
-    m_store.read(range, timeout, noting(std::move(done), "read", false));
+    m_store.read(range, timeout, instrument(std::move(done), "read", false));
 }
 
 void StoreHealth::watch(const std::string& table, int64_t version, Millis wait,
                         StoreReply done)
 {
-    m_store.watch(table, version, wait, noting(std::move(done), "watch", true));
+    m_store.watch(table, version, wait, instrument(std::move(done), "watch", true));
 }
 
 bool StoreHealth::served() const
--- a/src/jobs.lib/store_health.h
+++ b/src/jobs.lib/store_health.h
@@ -45,7 +45,7 @@
     const StoreClock& clock() const { return m_clock; }
 
 private:
-    StoreReply noting(StoreReply done, const char* call, bool waits);
+    StoreReply instrument(StoreReply done, const char* call, bool waits);
     void schedule_probe();
 
     EventLoop& m_loop;
--- a/src/jobs.lib/store_keys.h
+++ b/src/jobs.lib/store_keys.h
@@ -26,61 +26,61 @@
 
 /// A part takes one transaction after the other, so a slow store takes as many at a time as
 /// there are parts.
-constexpr int job_parts = 64;
+constexpr int job_partition_count = 64;
 inline const char* const jobs_table = "jobs";
 inline const char* const closed_table = "closed";
 inline const char* const progress_table = "progress";
 inline const char* const lead_table = "lead";
 inline const char* const nodes_table = "nodes";
-inline const char* const scheduler_part = "s";
+inline const char* const scheduler_partition = "s";
 inline const char* const head_key = "head";
 inline const char* const leader_key = "leader";
 inline const std::string cancel_suffix = ".cancel";
 
 /// Returns the name of the part with this number, below `job_parts`.
-inline std::string job_part_name(int number)
+inline std::string job_partition_name(int number)
 {
     return "j" + std::to_string(number);
 }
 
 /// Returns the names of all parts in which jobs lie.
-inline std::vector<std::string> job_part_names()
+inline std::vector<std::string> job_partition_names()
 {
     std::vector<std::string> names;
-    for (int number = 0; number < job_parts; ++number)
-        names.push_back(job_part_name(number));
+    for (int number = 0; number < job_partition_count; ++number)
+        names.push_back(job_partition_name(number));
     return names;
 }
 
 /// Returns the part in which the rows of the job `id` lie.
-inline std::string job_part(const std::string& id)
+inline std::string job_partition(const std::string& id)
 {
-    return job_part_name(static_cast<int>(stable_hash(id) % job_parts));
+    return job_partition_name(static_cast<int>(stable_hash(id) % job_partition_count));
 }
 
 inline RowKey job_row(const std::string& id)
 {
-    return { jobs_table, job_part(id), id };
+    return { jobs_table, job_partition(id), id };
 }
 
 inline RowKey cancel_row(const std::string& id)
 {
-    return { jobs_table, job_part(id), id + cancel_suffix };
+    return { jobs_table, job_partition(id), id + cancel_suffix };
 }
 
 inline RowKey closed_row(const std::string& id)
 {
-    return { closed_table, job_part(id), id };
+    return { closed_table, job_partition(id), id };
 }
 
 inline RowKey progress_row(const std::string& id)
 {
-    return { progress_table, scheduler_part, id };
+    return { progress_table, scheduler_partition, id };
 }
 
 inline RowKey lead_row(const std::string& key)
 {
-    return { lead_table, scheduler_part, key };
+    return { lead_table, scheduler_partition, key };
 }
 
 /// Returns the id of the job that a cancellation's key names, or "" for another key.
--- a/src/jobs.lib/store_writer.cpp
+++ b/src/jobs.lib/store_writer.cpp
@@ -64,7 +64,7 @@
     const RowKey& row = call->first_put.id;
     StoreRange range;
     range.table = row.table;
-    range.part = row.part;
+    range.partition = row.partition;
     range.from = row.key;
     range.to = row.key + "!";
     range.limit = 1;
--- a/src/jobs.lib/stuck_step_test.cpp
+++ b/src/jobs.lib/stuck_step_test.cpp
@@ -24,7 +24,7 @@
 
 using namespace pathport;
 using namespace pathport::jobs;
-using emulator::TaskFacts;
+using emulator::StepModel;
 
 namespace {
 
@@ -40,7 +40,7 @@
     void start(const WorkerInfo& worker, const StartOrder& order, Millis timeout,
                std::function<void(OrderAnswer)> done) override
     {
-        const std::string name = WorkerLife::parse(worker.id).name;
+        const std::string name = WorkerIncarnation::parse(worker.id).name;
         ++starts[name];
         const auto refusal = refusals.find(name);
         if (refusal == refusals.end()) {
@@ -56,15 +56,15 @@
     {
         m_port.stop(worker, order, timeout, done);
     }
-    void pace(const WorkerInfo& worker, const RunOrder& order, Millis timeout,
-              std::function<void(OrderAnswer)> done) override
+    void set_speed(const WorkerInfo& worker, const RunOrder& order, Millis timeout,
+                   std::function<void(OrderAnswer)> done) override
     {
-        m_port.pace(worker, order, timeout, done);
+        m_port.set_speed(worker, order, timeout, done);
     }
-    void look(const WorkerInfo& worker, const LookOrder& order, Millis timeout,
-              std::function<void(OrderStatus, std::optional<LookReport>)> done) override
+    void poll(const WorkerInfo& worker, const PollRequest& order, Millis timeout,
+              std::function<void(OrderStatus, std::optional<PollReport>)> done) override
     {
-        m_port.look(worker, order, timeout, done);
+        m_port.poll(worker, order, timeout, done);
     }
 
     std::map<std::string, OrderStatus> refusals; ///< Workers that start nothing.
@@ -89,7 +89,7 @@
         ++questions;
         std::vector<WorkerTicket> tickets;
         for (const std::string& worker : workers) {
-            if (refused.count(WorkerLife::parse(worker).name) == 0)
+            if (refused.count(WorkerIncarnation::parse(worker).name) == 0)
                 tickets.push_back({ worker, "t" });
         }
         if (answers_empty > 0) {
@@ -123,9 +123,9 @@
     EventLoop& m_loop;
 };
 
-TaskFacts facts_of(int count, int64_t run_ms, int64_t cpu)
+StepModel facts_of(int count, int64_t run_ms, int64_t cpu)
 {
-    TaskFacts facts;
+    StepModel facts;
     facts.count = count;
     facts.run_ms = run_ms;
     facts.need = { cpu, 500, 0 };
@@ -162,8 +162,8 @@
         setup.peer_address = "n1";
         setup.incarnation = "1";
         node = std::make_unique<JobNode>(
-            NodeParts { loop, store_port, store_port, workers, advisor, peers, metrics,
-                        [this] { return world.now().count(); } },
+            NodeContext { loop, store_port, store_port, workers, advisor, peers, metrics,
+                          [this] { return world.now().count(); } },
             setup);
         node->begin();
         world.run_for(Millis(2000));
@@ -174,13 +174,13 @@
     {
         std::vector<WorkerInfo> found = emulated.list();
         const auto hidden = [this](const WorkerInfo& info) {
-            return unlisted.count(WorkerLife::parse(info.id).name) > 0;
+            return unlisted.count(WorkerIncarnation::parse(info.id).name) > 0;
         };
         found.erase(std::remove_if(found.begin(), found.end(), hidden), found.end());
         return found;
     }
 
-    void submit(const std::string& id, int queue, const TaskFacts& facts,
+    void submit(const std::string& id, int queue, const StepModel& facts,
                 const std::string& label = "", int64_t expected_ms = 0)
     {
         jobs::JobSpec spec;
@@ -192,7 +192,7 @@
         step.gang = facts.gang;
         step.expected_ms = expected_ms == 0 ? facts.run_ms : expected_ms;
         spec.steps.push_back(step);
-        emulated.describe(id, 0, facts);
+        emulated.define_step(id, 0, facts);
         node->submit(store.configuration().queues[size_t(queue)], id, spec, world.now(),
                      Millis(3000), [](ClientStatus) {});
     }
@@ -222,8 +222,8 @@
     std::unique_ptr<JobNode> node;
 };
 
-struct QuietLog {
-    QuietLog()
+struct LogFixture {
+    LogFixture()
     {
         const char* const level = std::getenv("PATHPORT_LOG");
         start_log("test", log_level_from(level == nullptr ? "error" : level));
@@ -255,7 +255,7 @@
 
 } // namespace
 
-BOOST_TEST_GLOBAL_FIXTURE(QuietLog);
+BOOST_TEST_GLOBAL_FIXTURE(LogFixture);
 
 // A worker that declines all starts was chosen for the same task again and again: refusals
 // of one job at one worker count once, so the worker is not avoided.
@@ -303,8 +303,8 @@
 BOOST_AUTO_TEST_CASE(allowed_workers_stay_allowed_after_an_empty_answer)
 {
     Site site(6, 2, 2);
-    TaskFacts facts = facts_of(15, 3000, 450);
-    facts.fails = 1;
+    StepModel facts = facts_of(15, 3000, 450);
+    facts.failing_runs = 1;
     site.submit("job1", 1, facts);
     // All tasks fail at about the same time, when their tickets have run out.
     site.world.run_for(Millis(1500));
@@ -320,7 +320,7 @@
     for (const bool gang : { false, true }) {
         Site site(4, 2, 2);
         site.advisor.refused = { "w1", "w2", "w3", "w4" };
-        TaskFacts facts = facts_of(2, 500, 5000);
+        StepModel facts = facts_of(2, 500, 5000);
         facts.gang = gang;
         site.submit("job1", 1, facts);
         site.world.run_for(long_enough);
@@ -340,7 +340,7 @@
     Site site(14, 2, 2);
     const auto refuse_all_but = [&site](const std::string& allowed) {
         for (const WorkerInfo& info : site.emulated.list())
-            site.advisor.refused.insert(WorkerLife::parse(info.id).name);
+            site.advisor.refused.insert(WorkerIncarnation::parse(info.id).name);
         site.advisor.refused.erase(allowed);
     };
     refuse_all_but("w14");
@@ -361,10 +361,10 @@
 {
     Site site(2, 2, 2);
     // An order without an answer raises the fence.
-    site.emulated.trouble.unanswered = 1;
+    site.emulated.injected.unanswered_share = 1;
     site.submit("job0", 0, facts_of(2, 300, 4000), "r1-1");
     site.world.run_for(Millis(500));
-    site.emulated.trouble.unanswered = 0;
+    site.emulated.injected.unanswered_share = 0;
     site.world.run_for(Millis(4000));
     BOOST_TEST(site.done("job0", 2));
     const int64_t epoch = site.epoch();
@@ -389,7 +389,7 @@
             site.world.run_for(Millis(1200));
         }
         // The others are full of less urgent tasks.
-        const TaskFacts full = facts_of(1, 60000, 8000);
+        const StepModel full = facts_of(1, 60000, 8000);
         site.submit("full1", 0, full, "r1-1");
         site.submit("full2", 0, full, "r1-2");
         site.world.run_for(Millis(500));
@@ -408,7 +408,7 @@
     Site site(14, 2, 2);
     // The workers that are asked about first, all but the one that fails.
     site.advisor.refused = { "w10", "w11", "w12", "w13", "w14", "w2", "w3", "w4", "w5" };
-    site.emulated.afflict("w1", emulator::WorkerFault::fails_tasks, long_enough);
+    site.emulated.inject_fault("w1", emulator::WorkerFault::fails_tasks, long_enough);
     site.submit("job1", 1, facts_of(4, 500, 450));
     site.world.run_for(long_enough);
     BOOST_TEST(site.done("job1", 4));
--- a/src/jobs.lib/stuck_tasks_test.cpp
+++ b/src/jobs.lib/stuck_tasks_test.cpp
@@ -13,7 +13,7 @@
 using namespace pathport;
 using namespace pathport::cell_tests;
 
-BOOST_TEST_GLOBAL_FIXTURE(QuietLog);
+BOOST_TEST_GLOBAL_FIXTURE(LogFixture);
 
 // The list forgets an idle worker that answers, and names it again: the worker's session
 // was dropped, and the next one began with a fence below the one that the first had raised.
@@ -24,18 +24,18 @@
     add_queues(cell);
     cell.world.run_for(Millis(2000));
     // Two starts without an answer raise the fence.
-    cell.workers.trouble.unanswered = 1;
-    submit(cell, "q0", "job0", { simple_facts(2, 300) });
+    cell.workers.injected.unanswered_share = 1;
+    submit(cell, "q0", "job0", { one_core_step(2, 300) });
     cell.world.run_for(Millis(600));
-    cell.workers.trouble.unanswered = 0;
+    cell.workers.injected.unanswered_share = 0;
     cell.world.run_for(Millis(3000));
     const int64_t epoch = epoch_of(cell);
     for (const std::string& id : cell.workers.ids())
-        cell.workers.afflict(id, WorkerFault::unlisted, Millis(2000));
+        cell.workers.inject_fault(id, WorkerFault::unlisted, Millis(2000));
     cell.world.run_for(Millis(6000));
     BOOST_TEST(epoch_of(cell) == epoch);
-    const auto wrong = cell.verdict();
-    BOOST_TEST(wrong.empty(), joined(wrong));
+    const auto wrong = cell.final_violations();
+    BOOST_TEST(wrong.empty(), join_lines(wrong));
 }
 
 // A worker that answers looks and declines all starts is chosen again and again for the
@@ -47,18 +47,18 @@
     add_queues(cell);
     cell.watch_jobs();
     cell.world.run_for(Millis(2000));
-    cell.workers.afflict("w1", WorkerFault::declines_starts, Millis(60000));
-    submit(cell, "q2", "job0", { simple_facts(1, 500) });
+    cell.workers.inject_fault("w1", WorkerFault::declines_starts, Millis(60000));
+    submit(cell, "q2", "job0", { one_core_step(1, 500) });
     cell.world.run_for(Millis(10000));
-    const auto wrong = cell.verdict();
-    BOOST_TEST(wrong.empty(), joined(wrong));
+    const auto wrong = cell.final_violations();
+    BOOST_TEST(wrong.empty(), join_lines(wrong));
 }
 
 // The same for the other ways in which all starts on one worker come to nothing.
 BOOST_AUTO_TEST_CASE(task_that_never_starts_on_one_worker_runs_elsewhere)
 {
     for (const WorkerFault fault :
-         { WorkerFault::refuses_starts, WorkerFault::swallows_starts }) {
+         { WorkerFault::refuses_starts, WorkerFault::drops_starts }) {
         for (const char* const queue : { "q2", "a2" }) {
             Cell cell(2, 3, 4);
             add_queues(cell);
@@ -66,11 +66,11 @@
             cell.world.run_for(Millis(2000));
             // Two of four, since a task may only remember where it failed last.
             for (const char* const id : { "w1", "w2" })
-                cell.workers.afflict(id, fault, Millis(60000));
-            submit(cell, queue, "job0", { simple_facts(1, 500) });
+                cell.workers.inject_fault(id, fault, Millis(60000));
+            submit(cell, queue, "job0", { one_core_step(1, 500) });
             cell.world.run_for(Millis(10000));
-            const auto wrong = cell.verdict();
-            BOOST_TEST(wrong.empty(), queue << joined(wrong));
+            const auto wrong = cell.final_violations();
+            BOOST_TEST(wrong.empty(), queue << join_lines(wrong));
         }
     }
 }
@@ -81,11 +81,11 @@
     Cell cell(3, 3, 4);
     add_queues(cell);
     cell.world.run_for(Millis(2000));
-    cell.workers.afflict("w1", WorkerFault::stands_still, Millis(60000));
-    submit(cell, "q2", "job0", { simple_facts(1, 500) });
+    cell.workers.inject_fault("w1", WorkerFault::stalls_tasks, Millis(60000));
+    submit(cell, "q2", "job0", { one_core_step(1, 500) });
     cell.world.run_for(Millis(15000));
-    const auto wrong = cell.verdict();
-    BOOST_TEST(wrong.empty(), joined(wrong));
+    const auto wrong = cell.final_violations();
+    BOOST_TEST(wrong.empty(), join_lines(wrong));
 }
 
 // Seed 70024: the second leader learned of a task's second failure before its first one and
@@ -97,25 +97,25 @@
         Cell cell(seed, 3, 2);
         add_queues(cell);
         cell.world.run_for(Millis(2000));
-        cell.store.trouble.slow = 80;
+        cell.store.injected.latency_factor = 80;
         cell.world.run_for(Millis(2000));
-        TaskFacts facts = simple_facts(1, 300);
-        facts.fails = 9;
+        StepModel facts = one_core_step(1, 300);
+        facts.failing_runs = 9;
         submit(cell, "q0", "job0", { facts });
         for (int i = 0; i < 400 && cell.workers.starts() < 2; ++i)
             cell.world.run_for(Millis(10));
         // It has failed on the first worker and runs on the second one, unrecorded.
-        cell.workers.cut("w1", Millis(60000));
+        cell.workers.partition("w1", Millis(60000));
         cell.kill(cell.leader(), Millis(500));
-        cell.store.trouble.slow = 1;
+        cell.store.injected.latency_factor = 1;
         for (int i = 0; i < 40 && cell.leader().empty(); ++i)
             cell.world.run_for(Millis(50));
         cell.world.run_for(Millis(500));
-        cell.workers.cut("w1", Millis(0));
+        cell.workers.partition("w1", Millis(0));
         cell.kill(cell.leader(), Millis(500));
         cell.world.run_for(Millis(20000));
-        const auto wrong = cell.verdict();
-        BOOST_TEST(wrong.empty(), "seed " << seed << joined(wrong));
+        const auto wrong = cell.final_violations();
+        BOOST_TEST(wrong.empty(), "seed " << seed << join_lines(wrong));
     }
 }
 
@@ -129,17 +129,17 @@
         add_queues(cell);
         cell.watch_jobs();
         cell.world.run_for(Millis(2000));
-        TaskFacts hopeless = simple_facts(2, 800);
-        hopeless.fails = 99;
+        StepModel hopeless = one_core_step(2, 800);
+        hopeless.failing_runs = 99;
         for (int i = 0; i < 40; ++i) {
             submit(cell, "q1", "bad" + std::to_string(i), { hopeless });
             if (i % 5 == 0)
-                submit(cell, queue, "good" + std::to_string(i), { simple_facts(3, 800) });
+                submit(cell, queue, "good" + std::to_string(i), { one_core_step(3, 800) });
             cell.world.run_for(Millis(100));
         }
         cell.world.run_for(Millis(15000));
-        const auto wrong = cell.verdict();
-        BOOST_TEST(wrong.empty(), queue << joined(wrong));
+        const auto wrong = cell.final_violations();
+        BOOST_TEST(wrong.empty(), queue << join_lines(wrong));
     }
 }
 
@@ -153,17 +153,18 @@
         cell.workers.add("pool", { 16000, 64000, 0 });
     cell.watch_jobs();
     cell.world.run_for(Millis(3000));
-    TaskFacts hopeless = simple_facts(15, 900);
+    StepModel hopeless = one_core_step(15, 900);
     hopeless.need = { 450, 528, 0 };
-    hopeless.fails = 99;
+    hopeless.failing_runs = 99;
     for (int i = 0; i < 100; ++i) {
         submit(cell, "a2", "bad" + std::to_string(i), { hopeless });
-        submit(cell, "q0", "quick" + std::to_string(i), { simple_facts(2, 600) });
+        submit(cell, "q0", "quick" + std::to_string(i), { one_core_step(2, 600) });
         cell.world.run_for(Millis(50));
     }
     constexpr Millis finish_time { 14000 };
     cell.world.run_for(finish_time);
-    BOOST_TEST(cell.standing().size() == 0U, joined(cell.standing()));
+    BOOST_TEST(cell.liveness_violations().size() == 0U,
+               join_lines(cell.liveness_violations()));
 }
 
 // Found on the bench (LOST 82 to 251, random days of the kiosk; issue 17): questions of
@@ -184,18 +185,18 @@
                 queue.advice = jobs::AdviceRule { 42, 1, 2000 };
         }
         cell.store.configure(configuration);
-        cell.workers.trouble.ticket_life = Millis(2000);
+        cell.workers.injected.ticket_validity = Millis(2000);
         cell.workers.allowed_tenths = 4;
         for (int i = 0; i < 47; ++i)
             cell.workers.add("pool", { 16000, 64000, 0 });
         cell.watch_jobs();
         cell.world.run_for(Millis(3000));
-        TaskFacts gang = simple_facts(8, 6000);
+        StepModel gang = one_core_step(8, 6000);
         gang.need.cpu_millis = 4500;
         gang.gang = true;
-        gang.advice_ms = 480;
-        TaskFacts batch = simple_facts(10, 2200);
-        batch.advice_ms = 42;
+        gang.advice_latency_ms = 480;
+        StepModel batch = one_core_step(10, 2200);
+        batch.advice_latency_ms = 42;
         for (int i = 0; i < 540; ++i) {
             if (i % 6 == 0)
                 submit(cell, "a1", "gang" + std::to_string(i), { gang });
@@ -203,6 +204,7 @@
             cell.world.run_for(Millis(12));
         }
         cell.world.run_for(Millis(30000));
-        BOOST_TEST(cell.standing().size() == 0U, joined(cell.standing()));
+        BOOST_TEST(cell.liveness_violations().size() == 0U,
+                   join_lines(cell.liveness_violations()));
     }
 }
--- a/src/jobs.lib/suspect_preemption_test.cpp
+++ b/src/jobs.lib/suspect_preemption_test.cpp
@@ -9,7 +9,7 @@
 #define BOOST_TEST_MODULE suspect_preemption
 #include <boost/test/unit_test.hpp>
 
-#include "site_fixture.h"
+#include "multi_worker_fixture.h"
 
 #include <pathport/log.h>
 
@@ -18,8 +18,8 @@
 
 namespace {
 
-struct QuietLog {
-    QuietLog() { start_log("test", LogLevel::error); }
+struct LogFixture {
+    LogFixture() { start_log("test", LogLevel::error); }
 };
 
 /// Its worker is not kept from other work any more, and it has not outlived the lost runs.
@@ -36,12 +36,12 @@
 }
 
 /// The task that runs there gets on.
-void work_for(Site& site, Millis span)
+void work_for(MultiWorkerTakeOver& site, Millis span)
 {
     constexpr Millis report { 500 };
     for (Millis worked; worked < span; worked = worked + report) {
-        ++site.workers["w1"].running.front().percent;
-        site.serve(report);
+        ++site.worker_states["w1"].running.front().percent;
+        site.answer_polls(report);
     }
 }
 
@@ -53,28 +53,28 @@
     StepSpec& step = batch.spec.steps.front();
     step.need = { 3000, 500, 0 };
     step.saves_progress = true;
-    Site site({ "w1" }, batch, {}, [workers_lost](JobRecord& record) {
+    MultiWorkerTakeOver site({ "w1" }, batch, {}, [workers_lost](JobRecord& record) {
         Step& recorded = *record.step(0, 0);
         recorded.tasks.front().crashes = lost_with(workers_lost);
         recorded.has_crashes = workers_lost > 0;
     });
-    site.serve(Millis(3000));
-    BOOST_REQUIRE(site.hands.starts.size() == 1U);
-    const int64_t run = site.hands.starts.front().order.run;
-    site.hands.starts.front().done(OrderAnswer { OrderStatus::accepted, 0 });
-    site.workers["w1"].running.push_back(running_task(site.task, run));
+    site.answer_polls(Millis(3000));
+    BOOST_REQUIRE(site.manual_workers.starts.size() == 1U);
+    const int64_t run = site.manual_workers.starts.front().order.run;
+    site.manual_workers.starts.front().done(OrderAnswer { OrderStatus::accepted, 0 });
+    site.worker_states["w1"].running.push_back(running_task(site.task, run));
     work_for(site, past_trial);
     AcceptedJob urgent = job_of("urgent");
     urgent.spec.steps.front().gang = true;
     urgent.spec.steps.front().need = { 2000, 500, 0 };
     site.scheduler->job_announced(urgent, 1000);
     work_for(site, Millis(1000));
-    return site.hands.stops.size();
+    return site.manual_workers.stops.size();
 }
 
 } // namespace
 
-BOOST_TEST_GLOBAL_FIXTURE(QuietLog);
+BOOST_TEST_GLOBAL_FIXTURE(LogFixture);
 
 BOOST_AUTO_TEST_CASE(a_task_without_a_record_gives_way)
 {
--- a/src/jobs.lib/table_reader.cpp
+++ b/src/jobs.lib/table_reader.cpp
@@ -35,18 +35,18 @@
 TableReader::TableReader(EventLoop& loop, JobStore& store)
     : m_loop(loop)
     , m_store(store)
-    , m_most_open(most_open_parts)
-    , m_rows_of_page(most_rows)
+    , m_max_open(most_open_parts)
+    , m_page_rows(most_rows)
 {
 }
 
-void TableReader::set_link(int64_t bytes)
+void TableReader::set_link_rate(int64_t bytes)
 {
     if (bytes <= 0)
         return;
     const int64_t at_once = bytes / link_fraction;
-    m_most_open = std::clamp<int64_t>(at_once / bytes_of_part, 1, most_open_parts);
-    m_rows_of_page = std::clamp(at_once / bytes_of_row, least_rows, most_rows);
+    m_max_open = std::clamp<int64_t>(at_once / bytes_of_part, 1, most_open_parts);
+    m_page_rows = std::clamp(at_once / bytes_of_row, least_rows, most_rows);
 }
 
 void TableReader::read(const std::string& table, const std::vector<std::string>& parts,
@@ -56,9 +56,9 @@
     m_table = table;
     m_waiting.assign(parts.begin(), parts.end());
     m_version = std::numeric_limits<int64_t>::max();
-    m_seen = std::move(seen);
+    m_on_rows = std::move(seen);
     m_done = std::move(done);
-    while (!m_waiting.empty() && m_open < m_most_open)
+    while (!m_waiting.empty() && m_open < m_max_open)
         next_part();
 }
 
@@ -88,9 +88,9 @@
     ++page->reads_open;
     StoreRange range;
     range.table = m_table;
-    range.part = page->part;
+    range.partition = page->part;
     range.from = page->from;
-    range.limit = static_cast<int>(m_rows_of_page);
+    range.limit = static_cast<int>(m_page_rows);
     m_store.read(range, read_timeout, m_lifetime.wrap([this, page](StoreResult result) {
         --page->reads_open;
         answered(page, std::move(result));
@@ -105,7 +105,7 @@
     m_version = std::min(m_version, result.version);
     const std::string last = result.rows.empty() ? "" : result.rows.back().id.key;
     const auto alive = m_lifetime.observe();
-    m_seen(std::move(result.rows));
+    m_on_rows(std::move(result.rows));
     if (alive.expired())
         return;
     if (result.more && !last.empty()) {
--- a/src/jobs.lib/table_reader.h
+++ b/src/jobs.lib/table_reader.h
@@ -31,7 +31,7 @@
 
     /// Sets what the node's link moves in a second, in bytes; 0 for no bound. Less is read
     /// at a time through a thin one.
-    void set_link(int64_t bytes);
+    void set_link_rate(int64_t bytes);
     /// Begins; one reading at a time. `seen` is told the rows, `done` the lowest version
     /// that an answer named: all rows are known as of then.
     void read(const std::string& table, const std::vector<std::string>& parts,
@@ -59,11 +59,11 @@
     JobStore& m_store;
     std::string m_table;
     std::deque<std::string> m_waiting; ///< Parts that no read has been sent for.
-    int64_t m_most_open;
-    int64_t m_rows_of_page;
+    int64_t m_max_open;
+    int64_t m_page_rows;
     int64_t m_open = 0; ///< Parts that are being read.
     int64_t m_version = 0;
-    std::function<void(std::vector<StoredRow>)> m_seen;
+    std::function<void(std::vector<StoredRow>)> m_on_rows;
     std::function<void(int64_t)> m_done;
     Lifetime m_lifetime;
 };
--- a/src/jobs.lib/take_over_test.cpp
+++ b/src/jobs.lib/take_over_test.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-void submit(Cell& cell, int number, const TaskFacts& facts)
+void submit(Cell& cell, int number, const StepModel& facts)
 {
     submit_plain(cell, "job" + std::to_string(number), facts);
 }
@@ -23,10 +23,10 @@
 /// Hands in jobs while the store is so slow that starts precede their records.
 void submit_to_slow_store(Cell& cell, int count, int64_t run_ms)
 {
-    cell.store.trouble.slow = 80;
+    cell.store.injected.latency_factor = 80;
     cell.world.run_for(Millis(1500));
     for (int i = 0; i < count; ++i) {
-        submit(cell, i, small_facts(2, run_ms));
+        submit(cell, i, small_step(2, run_ms));
         cell.world.run_for(Millis(60));
     }
 }
@@ -38,7 +38,7 @@
     for (int i = 0; ids.size() < 40; ++i) {
         const std::string id = "late" + std::to_string(i);
         for (int part = 0; part < 8; ++part) {
-            if (jobs::job_part(id) == jobs::job_part_name(part))
+            if (jobs::job_partition(id) == jobs::job_partition_name(part))
                 ids.push_back(id);
         }
     }
@@ -58,10 +58,10 @@
         : cell(seed, 2, 6)
     {
         cell.world.run_for(Millis(2000));
-        cell.store.trouble.slow = 80;
+        cell.store.injected.latency_factor = 80;
         cell.world.run_for(Millis(1500));
         for (int i = 0; i < 20; ++i) {
-            submit(cell, i, small_facts(1, 100));
+            submit(cell, i, small_step(1, 100));
             cell.world.run_for(Millis(60));
         }
         epoch = epoch_of(cell);
@@ -77,24 +77,24 @@
     {
         const Millis begun = cell.world.now();
         cell.freeze(first, span);
-        cell.store.trouble.slow = 1;
+        cell.store.injected.latency_factor = 1;
         Millis claimed;
         while (cell.world.now() < begun + span) {
             cell.world.run_for(Millis(1));
             if (claimed == Millis(0) && epoch_of(cell) != epoch) {
                 claimed = cell.world.now() - begun;
-                cell.store.trouble.slow = 40;
+                cell.store.injected.latency_factor = 40;
             }
         }
         return claimed;
     }
     void hand_in(int64_t run_ms, int64_t slow)
     {
-        cell.store.trouble.slow = 1; // For a moment: the store's speed varies.
+        cell.store.injected.latency_factor = 1; // For a moment: the store's speed varies.
         for (const std::string& id : ids_read_first())
-            submit_plain(cell, id, small_facts(1, run_ms));
+            submit_plain(cell, id, small_step(1, run_ms));
         cell.world.run_for(Millis(20));
-        cell.store.trouble.slow = slow;
+        cell.store.injected.latency_factor = slow;
     }
 };
 
@@ -104,7 +104,7 @@
     WokenLeader dry(seed);
     if (cuts) {
         for (const char* const worker : { "w1", "w2", "w3", "w4", "w5" })
-            dry.cell.workers.cut(worker, Millis(9000), dry.second);
+            dry.cell.workers.partition(worker, Millis(9000), dry.second);
     }
     return dry.freeze(Millis(4000));
 }
@@ -115,15 +115,15 @@
 {
     Cell cell(3, 2, 3);
     cell.world.run_for(Millis(2000));
-    TaskFacts facts = small_facts(1, run_ms);
-    cell.workers.describe("hidden", 0, facts);
+    StepModel facts = small_step(1, run_ms);
+    cell.workers.define_step("hidden", 0, facts);
     emulator::ProcessLoop loop(cell.world);
     emulator::WorkerPort port(cell.workers, loop, "deposed");
     jobs::StartOrder order;
     order.task = { "hidden", 0, 0, 0 };
     order.run = (int64_t(1) << 20) + 500000;
     order.payload = facts.payload;
-    order.hold_until = cell.world.now().count() + 5000;
+    order.lease_until = cell.world.now().count() + 5000;
     order.fence = (int64_t(1) << 20) + 1;
     port.start(cell.workers.list().front(), order, Millis(400), [](jobs::OrderAnswer) {});
     cell.world.run_for(Millis(10));
@@ -144,7 +144,7 @@
     write.puts.push_back({ jobs::job_row(job.id), encode(job) });
     cell.store.write_now(write);
     cell.world.run_for(Millis(12000));
-    auto wrong = cell.workers.breaches();
+    auto wrong = cell.workers.violations();
     if (!cell.workers.all_done("hidden", 0, 1, false))
         wrong.emplace_back("not done");
     return wrong;
@@ -152,7 +152,7 @@
 
 } // namespace
 
-BOOST_TEST_GLOBAL_FIXTURE(QuietLog);
+BOOST_TEST_GLOBAL_FIXTURE(LogFixture);
 
 // Found on the bench (TWICE, random day b-15 of the kiosk): the second of two leaders that
 // took over soon after each other read in the head row that nothing ran without a record,
@@ -164,14 +164,14 @@
         cell.world.run_for(Millis(2000));
         submit_to_slow_store(cell, 30, 6000);
         for (const char* const worker : { "w1", "w2", "w3" })
-            cell.workers.cut(worker, Millis(5000));
+            cell.workers.partition(worker, Millis(5000));
         cell.kill(cell.leader(), Millis(5000));
-        cell.store.trouble.slow = 1;
+        cell.store.injected.latency_factor = 1;
         cell.world.run_for(Millis(500 + int64_t(seed) * 20));
         cell.kill(cell.leader(), Millis(5000));
         cell.world.run_for(Millis(40000));
-        const auto wrong = cell.verdict();
-        BOOST_TEST(wrong.empty(), "seed " << seed << joined(wrong));
+        const auto wrong = cell.final_violations();
+        BOOST_TEST(wrong.empty(), "seed " << seed << join_lines(wrong));
     }
 }
 
@@ -184,14 +184,14 @@
         cell.world.run_for(Millis(2000));
         submit_to_slow_store(cell, 30, 6000);
         cell.kill(cell.leader(), Millis(5000));
-        cell.store.trouble.slow = 1;
+        cell.store.injected.latency_factor = 1;
         cell.world.run_for(Millis(1500 + int64_t(seed) * 20));
         for (const char* const worker : { "w1", "w2", "w3" })
-            cell.workers.cut(worker, Millis(5000));
+            cell.workers.partition(worker, Millis(5000));
         cell.kill(cell.leader(), Millis(5000));
         cell.world.run_for(Millis(40000));
-        const auto wrong = cell.verdict();
-        BOOST_TEST(wrong.empty(), "seed " << seed << joined(wrong));
+        const auto wrong = cell.final_violations();
+        BOOST_TEST(wrong.empty(), "seed " << seed << join_lines(wrong));
     }
 }
 
@@ -202,18 +202,18 @@
     for (uint64_t seed = 1; seed <= 6; ++seed) {
         Cell cell(seed, 4, 8);
         cell.world.run_for(Millis(1500));
-        cell.store.trouble.slow = 60 + int64_t(seed % 4) * 10;
+        cell.store.injected.latency_factor = 60 + int64_t(seed % 4) * 10;
         const int frozen_at = 60 + int(seed) * 2;
         for (int i = 0; i < 320; ++i) {
-            submit(cell, i, small_facts(1, i % 3 == 0 ? 700 : 120));
+            submit(cell, i, small_step(1, i % 3 == 0 ? 700 : 120));
             if (i == frozen_at)
                 cell.freeze(cell.leader(), Millis(1700 + int64_t(seed) * 13));
             cell.world.run_for(Millis(15));
         }
-        cell.store.trouble.slow = 1;
+        cell.store.injected.latency_factor = 1;
         cell.world.run_for(Millis(20000));
-        const auto wrong = cell.verdict();
-        BOOST_TEST(wrong.empty(), "seed " << seed << joined(wrong));
+        const auto wrong = cell.final_violations();
+        BOOST_TEST(wrong.empty(), "seed " << seed << join_lines(wrong));
     }
 }
 
@@ -223,7 +223,7 @@
 {
     for (const int64_t run_ms : { 20, 60, 700, 3000 }) {
         const auto wrong = start_behind_the_successor(run_ms);
-        BOOST_TEST(wrong.empty(), run_ms << " ms" << joined(wrong));
+        BOOST_TEST(wrong.empty(), run_ms << " ms" << join_lines(wrong));
     }
 }
 
@@ -237,10 +237,10 @@
         woken.freeze(claim_time(seed, false) + Millis(145));
         woken.hand_in(100, 40);
         woken.cell.world.run_for(Millis(6000));
-        woken.cell.store.trouble.slow = 1;
+        woken.cell.store.injected.latency_factor = 1;
         woken.cell.world.run_for(Millis(15000));
-        const auto wrong = woken.cell.verdict();
-        BOOST_TEST(wrong.empty(), "seed " << seed << joined(wrong));
+        const auto wrong = woken.cell.final_violations();
+        BOOST_TEST(wrong.empty(), "seed " << seed << join_lines(wrong));
     }
 }
 
@@ -251,14 +251,14 @@
     for (uint64_t seed = 1; seed <= 20; ++seed) {
         WokenLeader woken(seed);
         for (const char* const worker : { "w1", "w2", "w3", "w4", "w5" })
-            woken.cell.workers.cut(worker, Millis(9000), woken.second);
+            woken.cell.workers.partition(worker, Millis(9000), woken.second);
         woken.freeze(claim_time(seed, true) + Millis(145));
         woken.hand_in(9000, 55);
         woken.cell.world.run_for(Millis(6000));
-        woken.cell.store.trouble.slow = 1;
+        woken.cell.store.injected.latency_factor = 1;
         woken.cell.world.run_for(Millis(60000));
-        const auto wrong = woken.cell.verdict();
-        BOOST_TEST(wrong.empty(), "seed " << seed << joined(wrong));
+        const auto wrong = woken.cell.final_violations();
+        BOOST_TEST(wrong.empty(), "seed " << seed << join_lines(wrong));
     }
 }
 
@@ -269,24 +269,24 @@
         Cell cell(seed, 3, 4);
         cell.world.run_for(Millis(2000));
         for (int round = 0; round < 8; ++round) {
-            cell.store.trouble.lose = 0.7;
-            cell.store.trouble.slow = 1 + int64_t(cell.world.below(60));
+            cell.store.injected.lost_write_replies = 0.7;
+            cell.store.injected.latency_factor = 1 + int64_t(cell.world.random_below(60));
             for (int i = 0; i < 6; ++i) {
-                submit(cell, round * 6 + i, small_facts(2, 700));
-                cell.world.run_for(Millis(int64_t(cell.world.below(150))));
+                submit(cell, round * 6 + i, small_step(2, 700));
+                cell.world.run_for(Millis(int64_t(cell.world.random_below(150))));
             }
             const std::string leader = cell.leader();
             if (!leader.empty()) {
                 cell.stop(leader, Millis(300));
-                cell.world.run_for(Millis(int64_t(cell.world.below(250))));
-                cell.freeze(leader, Millis(100 + int64_t(cell.world.below(1500))));
+                cell.world.run_for(Millis(int64_t(cell.world.random_below(250))));
+                cell.freeze(leader, Millis(100 + int64_t(cell.world.random_below(1500))));
             }
-            cell.world.run_for(Millis(1500 + int64_t(cell.world.below(1500))));
+            cell.world.run_for(Millis(1500 + int64_t(cell.world.random_below(1500))));
         }
-        cell.store.trouble.lose = 0;
-        cell.store.trouble.slow = 1;
+        cell.store.injected.lost_write_replies = 0;
+        cell.store.injected.latency_factor = 1;
         cell.world.run_for(Millis(40000));
-        const auto wrong = cell.verdict();
-        BOOST_TEST(wrong.empty(), "seed " << seed << joined(wrong));
+        const auto wrong = cell.final_violations();
+        BOOST_TEST(wrong.empty(), "seed " << seed << join_lines(wrong));
     }
 }
--- a/src/jobs.lib/unrecorded_crashes_test.cpp
+++ b/src/jobs.lib/unrecorded_crashes_test.cpp
@@ -15,11 +15,11 @@
 using namespace pathport;
 using namespace pathport::cell_tests;
 
-BOOST_TEST_GLOBAL_FIXTURE(QuietLog);
+BOOST_TEST_GLOBAL_FIXTURE(LogFixture);
 
 BOOST_AUTO_TEST_CASE(crashes_under_unrecorded_starts_count)
 {
     constexpr int style = 18;
     for (const uint64_t seed : { 970014, 980001 })
-        expect_schedules_clean(style, seed, 1);
+        expect_no_violations(style, seed, 1);
 }
--- a/src/jobs.lib/unrecorded_starts_test.cpp
+++ b/src/jobs.lib/unrecorded_starts_test.cpp
@@ -13,7 +13,7 @@
 using namespace pathport;
 using namespace pathport::cell_tests;
 
-BOOST_TEST_GLOBAL_FIXTURE(QuietLog);
+BOOST_TEST_GLOBAL_FIXTURE(LogFixture);
 
 // An earlier leader has started tasks without a record, and the worker is not listed when
 // the next one takes over: it may run them all the same.
@@ -23,21 +23,21 @@
         Cell cell(seed, 3, 3);
         add_queues(cell);
         cell.world.run_for(Millis(2000));
-        cell.store.trouble.slow = 80;
+        cell.store.injected.latency_factor = 80;
         cell.world.run_for(Millis(2000));
         for (int i = 0; i < 12; ++i) {
-            submit(cell, "q0", "job" + std::to_string(i), { simple_facts(1, 6000) });
+            submit(cell, "q0", "job" + std::to_string(i), { one_core_step(1, 6000) });
             cell.world.run_for(Millis(100));
         }
         for (const std::string& id : cell.workers.ids()) {
             if (id != "w3")
-                cell.workers.afflict(id, WorkerFault::unlisted, Millis(6000));
+                cell.workers.inject_fault(id, WorkerFault::unlisted, Millis(6000));
         }
         cell.kill(cell.leader(), Millis(5000));
-        cell.store.trouble.slow = 1;
+        cell.store.injected.latency_factor = 1;
         cell.world.run_for(Millis(30000));
-        const auto wrong = cell.verdict();
-        BOOST_TEST(wrong.empty(), "seed " << seed << joined(wrong));
+        const auto wrong = cell.final_violations();
+        BOOST_TEST(wrong.empty(), "seed " << seed << join_lines(wrong));
     }
 }
 
@@ -49,21 +49,21 @@
         Cell cell(seed, 3, 2);
         add_queues(cell);
         cell.world.run_for(Millis(2000));
-        cell.store.trouble.slow = 80;
+        cell.store.injected.latency_factor = 80;
         cell.world.run_for(Millis(2000));
         for (int i = 0; i < 8; ++i) {
-            submit(cell, "q0", "job" + std::to_string(i), { simple_facts(1, 6000) });
+            submit(cell, "q0", "job" + std::to_string(i), { one_core_step(1, 6000) });
             cell.world.run_for(Millis(100));
         }
         // All of them run on the worker that is cut off now.
-        cell.workers.cut("w1", Millis(5500));
+        cell.workers.partition("w1", Millis(5500));
         cell.kill(cell.leader(), Millis(500));
-        cell.store.trouble.slow = 1;
+        cell.store.injected.latency_factor = 1;
         for (int i = 0; i < 40 && cell.leader().empty(); ++i)
             cell.world.run_for(Millis(50));
         cell.kill(cell.leader(), Millis(500));
         cell.world.run_for(Millis(30000));
-        const auto wrong = cell.verdict();
-        BOOST_TEST(wrong.empty(), "seed " << seed << joined(wrong));
+        const auto wrong = cell.final_violations();
+        BOOST_TEST(wrong.empty(), "seed " << seed << join_lines(wrong));
     }
 }
--- a/src/jobs.lib/unwanted_runs_test.cpp
+++ b/src/jobs.lib/unwanted_runs_test.cpp
@@ -17,16 +17,16 @@
 #include <boost/test/unit_test.hpp>
 
 #include "cell_fixture.h"
-#include "take_over_fixture.h"
+#include "single_worker_fixture.h"
 
 #include <algorithm>
 
 using namespace pathport;
 using namespace pathport::jobs;
 
-using cell_tests::QuietLog;
+using cell_tests::LogFixture;
 
-BOOST_TEST_GLOBAL_FIXTURE(QuietLog);
+BOOST_TEST_GLOBAL_FIXTURE(LogFixture);
 
 namespace {
 
@@ -38,7 +38,7 @@
     return running;
 }
 
-int stops_of(const HeldWorker& worker, const TaskId& task, int64_t run)
+int stops_of(const ManualWorker& worker, const TaskId& task, int64_t run)
 {
     return static_cast<int>(std::count_if(
         worker.stop_orders.begin(), worker.stop_orders.end(),
@@ -47,24 +47,24 @@
 
 /// A scheduler that has taken over a job whose task runs, as the worker's first report
 /// said.
-struct RunningJob : TakeOver {
+struct RunningJob : SingleWorkerTakeOver {
     RunningJob() { report_running(run); }
 
     /// The worker lists these runs of the job's task in its next report, and no ends.
     void report_running(int64_t listed)
     {
-        LookReport report = report_at(world.now());
+        PollReport report = report_at(world.now());
         report.running.push_back(running_task(task, listed));
-        TakeOver::report(report);
+        SingleWorkerTakeOver::report(report);
     }
     /// The worker answers nothing for `span`.
     void stay_silent(Millis span)
     {
         const Millis until = world.now() + span;
         while (world.now() < until) {
-            if (answered < worker.looks.size()) {
-                answered = worker.looks.size();
-                worker.looks.back().second(OrderStatus::unknown, std::nullopt);
+            if (answered < worker.polls.size()) {
+                answered = worker.polls.size();
+                worker.polls.back().second(OrderStatus::unknown, std::nullopt);
             }
             world.run_for(Millis(50));
         }
@@ -80,7 +80,7 @@
 {
     RunningJob job;
     const TaskId unknown { "other", 0, 0, 0 };
-    LookReport report = report_at(job.world.now());
+    PollReport report = report_at(job.world.now());
     report.running.push_back(running_task(job.task, job.run));
     report.running.push_back(running_task(unknown, 3));
     job.report(report);
@@ -122,7 +122,7 @@
     const size_t starts = job.worker.starts.size();
     job.report_running(job.run);
     BOOST_TEST(job.worker.starts.size() == starts);
-    LookReport report = report_at(job.world.now());
+    PollReport report = report_at(job.world.now());
     EndedTask end;
     end.number = 1;
     end.task = job.task;
@@ -138,7 +138,7 @@
 {
     RunningJob job;
     const TaskId unknown { "other", 0, 0, 0 };
-    LookReport report = report_at(job.world.now());
+    PollReport report = report_at(job.world.now());
     report.running.push_back(running_task(job.task, job.run));
     report.running.push_back(running_task(unknown, 3));
     job.report(report);
@@ -154,13 +154,13 @@
 {
     emulator::World world { 7 };
     emulator::ProcessLoop loop { world };
-    HeldWorker worker;
-    Heard heard;
+    ManualWorker worker;
+    RecordingListener heard;
     WorkerInfo info;
     info.id = "w1";
-    WorkerSession session(loop, worker, heard, info, 1, 0, WorkerBounds(), world.now());
-    session.begin();
-    worker.looks.at(0).second(OrderStatus::accepted, report_at(world.now()));
+    WorkerSession session(loop, worker, heard, info, 1, 0, WorkerTimeouts(), world.now());
+    session.start_polling();
+    worker.polls.at(0).second(OrderStatus::accepted, report_at(world.now()));
     const TaskId task { "job", 0, 0, 0 };
     session.stop(task, 5, StopReason::job_closed);
     session.stop(task, 7, StopReason::job_closed);
--- a/src/jobs.lib/version_gossip.cpp
+++ b/src/jobs.lib/version_gossip.cpp
@@ -22,8 +22,9 @@
     message.config_version = m_configuration.version();
     if (message.address.empty())
         message.address = m_address;
-    auto note = m_lifetime.wrap(
-        [this, address](int64_t version) { m_configuration.peer_has(address, version); });
+    auto note = m_lifetime.wrap([this, address](int64_t version) {
+        m_configuration.note_peer_version(address, version);
+    });
     m_peers.send(address, message, timeout,
                  [note, done = std::move(done)](PeerEnd end, PeerAnswer answer) mutable {
                      note(answer.config_version);
@@ -33,7 +34,7 @@
 
 PeerResponder VersionGossip::receive(const PeerRequest& request, PeerResponder done) const
 {
-    m_configuration.peer_has(request.address, request.config_version);
+    m_configuration.note_peer_version(request.address, request.config_version);
     return [this, alive = m_lifetime.observe(), done = std::move(done)](PeerAnswer answer) {
         if (!alive.expired())
             answer.config_version = m_configuration.version();
--- a/src/jobs.lib/explanation_turns_test.cpp
+++ b/src/jobs.lib/wait_log_limiter_test.cpp
@@ -5,10 +5,10 @@
 /// Explanations of waiting steps in the log. Guards against work for the log that grows
 /// with what waits, and so takes the leader's time when it has least of it.
 
-#define BOOST_TEST_MODULE explanation_turns
+#define BOOST_TEST_MODULE wait_log_limiter
 #include <boost/test/unit_test.hpp>
 
-#include "explanation_turns.h"
+#include "wait_log_limiter.h"
 
 #include <algorithm>
 #include <vector>
@@ -21,14 +21,14 @@
 /// Returns how often each of so many steps was explained in the span.
 std::vector<int> explained(size_t steps, Millis span)
 {
-    ExplanationTurns turns;
+    WaitLogLimiter turns;
     std::vector<int> counts(steps);
     std::vector<Millis> last(steps);
     constexpr Millis begun { 1000000 };
-    for (Millis now = begun; now < begun + span; now = now + explanation_round) {
+    for (Millis now = begun; now < begun + span; now = now + explanation_round_interval) {
         turns.begin_round(steps);
         for (size_t i = 0; i < steps; ++i) {
-            if (!turns.take(now, last[i]))
+            if (!turns.acquire(now, last[i]))
                 continue;
             last[i] = now;
             ++counts[i];
@@ -53,7 +53,7 @@
     int all = 0;
     for (const int count : counts)
         all += count;
-    const auto rounds = static_cast<int>(span.count() / explanation_round.count());
-    BOOST_TEST(all <= rounds * explanations_in_round);
+    const auto rounds = static_cast<int>(span.count() / explanation_round_interval.count());
+    BOOST_TEST(all <= rounds * explanations_per_round);
     BOOST_TEST(*std::min_element(counts.begin(), counts.end()) >= 2);
 }
--- a/src/jobs.lib/worker_lives_test.cpp
+++ b/src/jobs.lib/worker_incarnations_test.cpp
@@ -11,7 +11,7 @@
 /// Cause: whatever was kept of a worker was kept by its id, over its lives.
 /// Proof: the cases here failed in this way; with lives told apart, none does.
 
-#define BOOST_TEST_MODULE worker_lives
+#define BOOST_TEST_MODULE worker_restarts
 #include <boost/test/unit_test.hpp>
 
 #include "cell_fixture.h"
@@ -20,9 +20,9 @@
 
 using namespace pathport;
 using namespace pathport::cell_tests;
-using emulator::Comeback;
+using emulator::RestartOptions;
 
-BOOST_TEST_GLOBAL_FIXTURE(QuietLog);
+BOOST_TEST_GLOBAL_FIXTURE(LogFixture);
 
 namespace {
 
@@ -34,14 +34,14 @@
 {
     for (int i = 0; i < load_time.count() / 250; ++i) {
         cell.world.after(Millis(int64_t(250) * i), [&cell, i] {
-            TaskFacts gang = simple_facts(3, 900);
+            StepModel gang = one_core_step(3, 900);
             gang.gang = true;
-            TaskFacts after = simple_facts(2, 150);
+            StepModel after = one_core_step(2, 150);
             after.after = { 0 };
             const std::string number = std::to_string(i);
-            submit(cell, "q0", "short" + number, { simple_facts(4, 120), after });
+            submit(cell, "q0", "short" + number, { one_core_step(4, 120), after });
             submit(cell, "q1", "gang" + number, { gang });
-            submit(cell, "a1", "long" + number, { simple_facts(2, 1800) });
+            submit(cell, "a1", "long" + number, { one_core_step(2, 1800) });
         });
     }
 }
@@ -58,34 +58,34 @@
     add_queues(cell);
     cell.workers.allowed_tenths = 9;
     cell.world.run_for(Millis(1500));
-    cell.disturbed(load_time, settles_in);
+    cell.note_disturbance(load_time, settles_in);
     cell.watch_jobs();
     load(cell);
     cell.world.run_for(Millis(2000 + int64_t(seed) * 37));
     trouble(cell);
     cell.world.run_for(Millis(35000));
-    return cell.verdict();
+    return cell.final_violations();
 }
 
 void expect_none_wrong(const Trouble& trouble)
 {
     for (uint64_t seed = 1; seed <= seeds; ++seed) {
         const auto wrong = play(seed, trouble);
-        BOOST_TEST(wrong.empty(), "seed " << seed << joined(wrong));
+        BOOST_TEST(wrong.empty(), "seed " << seed << join_lines(wrong));
     }
 }
 
 /// Returns a comeback with a clock that begins at 0, or far ahead of that of before.
-Comeback comeback(Millis pause, bool ahead = false)
+RestartOptions comeback(Millis pause, bool ahead = false)
 {
-    Comeback how;
-    how.pause = pause;
+    RestartOptions how;
+    how.downtime = pause;
     how.listed_after = Millis(600);
-    how.clock_ms = ahead ? 5000000 : 0;
+    how.start_clock_ms = ahead ? 5000000 : 0;
     return how;
 }
 
-void restart_all(Cell& cell, const Comeback& how)
+void restart_all(Cell& cell, const RestartOptions& how)
 {
     for (const std::string& id : cell.workers.ids())
         cell.workers.restart(id, how);
@@ -112,8 +112,8 @@
 BOOST_AUTO_TEST_CASE(a_restart_without_power)
 {
     expect_none_wrong([](Cell& cell) {
-        Comeback how = comeback(Millis(250));
-        how.silent = true;
+        RestartOptions how = comeback(Millis(250));
+        how.unresponsive = true;
         restart_all(cell, how);
     });
 }
@@ -170,8 +170,9 @@
 BOOST_AUTO_TEST_CASE(while_the_store_is_away)
 {
     expect_none_wrong([](Cell& cell) {
-        cell.store.trouble.busy = true;
-        cell.world.after(Millis(2500), [&cell] { cell.store.trouble.busy = false; });
+        cell.store.injected.refuse_calls = true;
+        cell.world.after(Millis(2500),
+                         [&cell] { cell.store.injected.refuse_calls = false; });
         cell.world.after(Millis(300),
                          [&cell] { restart_all(cell, comeback(Millis(200))); });
     });
@@ -181,7 +182,7 @@
 {
     expect_none_wrong([](Cell& cell) {
         for (const std::string& id : cell.workers.ids())
-            cell.workers.cut(id, Millis(1500));
+            cell.workers.partition(id, Millis(1500));
         cell.world.after(Millis(500),
                          [&cell] { restart_all(cell, comeback(Millis(200))); });
     });
@@ -191,8 +192,9 @@
 BOOST_AUTO_TEST_CASE(orders_of_before_on_the_way)
 {
     expect_none_wrong([](Cell& cell) {
-        cell.workers.trouble.unanswered = 0.3;
-        cell.world.after(Millis(1500), [&cell] { cell.workers.trouble.unanswered = 0; });
+        cell.workers.injected.unanswered_share = 0.3;
+        cell.world.after(Millis(1500),
+                         [&cell] { cell.workers.injected.unanswered_share = 0; });
         cell.world.after(Millis(400),
                          [&cell] { restart_all(cell, comeback(Millis(200))); });
     });
@@ -201,7 +203,7 @@
 BOOST_AUTO_TEST_CASE(as_another_kind_of_machine)
 {
     expect_none_wrong([](Cell& cell) {
-        Comeback how = comeback(Millis(300));
+        RestartOptions how = comeback(Millis(300));
         how.capacity = Resources { 3000, 6000, 0 };
         restart_all(cell, how);
     });
--- a/src/jobs.lib/worker_list_changes.cpp
+++ b/src/jobs.lib/worker_list_changes.cpp
@@ -31,18 +31,18 @@
     }
     for (const auto& [id, worker] : before) {
         if (now.count(id) == 0)
-            changes.gone.push_back(id);
+            changes.removed.push_back(id);
     }
     return changes;
 }
 
 void apply(const WorkerListChanges& changes, WorkersById& list)
 {
-    if (changes.whole)
+    if (changes.full)
         list.clear();
     for (const WorkerInfo& worker : changes.changed)
         list[worker.id] = worker;
-    for (const std::string& id : changes.gone)
+    for (const std::string& id : changes.removed)
         list.erase(id);
 }
 
@@ -54,7 +54,7 @@
                          worker.capacity.cpu_millis, worker.capacity.memory_mb,
                          worker.capacity.accelerators, worker.draining, worker.remaining_ms,
                          worker.labels });
-    return Json::array({ changes.whole, std::move(rows), changes.gone })
+    return Json::array({ changes.full, std::move(rows), changes.removed })
         .dump(-1, ' ', false, Json::error_handler_t::replace);
 }
 
@@ -63,7 +63,7 @@
     try {
         const Json json = Json::parse(text);
         WorkerListChanges changes;
-        changes.whole = json.at(0).get<bool>();
+        changes.full = json.at(0).get<bool>();
         for (const Json& row : json.at(1)) {
             WorkerInfo worker;
             worker.id = row.at(0).get<std::string>();
@@ -77,7 +77,7 @@
             worker.labels = row.at(9).get<std::vector<std::string>>();
             changes.changed.push_back(std::move(worker));
         }
-        changes.gone = json.at(2).get<std::vector<std::string>>();
+        changes.removed = json.at(2).get<std::vector<std::string>>();
         return changes;
     } catch (const Json::exception&) {
         return std::nullopt;
--- a/src/jobs.lib/worker_list_changes.h
+++ b/src/jobs.lib/worker_list_changes.h
@@ -23,13 +23,13 @@
 
 /// What has changed.
 struct WorkerListChanges {
-    bool whole = false; ///< `changed` is the whole list.
+    bool full = false; ///< `changed` is the whole list.
     std::vector<WorkerInfo> changed; ///< New ones, and those of which something changed.
-    std::vector<std::string> gone;
+    std::vector<std::string> removed;
 
     bool operator==(const WorkerListChanges& other) const
     {
-        return whole == other.whole && changed == other.changed && gone == other.gone;
+        return full == other.full && changed == other.changed && removed == other.removed;
     }
 };
 
--- a/src/jobs.lib/worker_list_test.cpp
+++ b/src/jobs.lib/worker_list_test.cpp
@@ -21,7 +21,7 @@
     cell.store.list_workers = [&cell, named] {
         std::vector<jobs::WorkerInfo> found;
         for (const jobs::WorkerInfo& info : cell.workers.list()) {
-            if (jobs::WorkerLife::parse(info.id).name == named)
+            if (jobs::WorkerIncarnation::parse(info.id).name == named)
                 found.push_back(info);
         }
         return found;
@@ -39,25 +39,25 @@
 {
     Cell cell(seed, 4, 8);
     cell.world.run_for(Millis(1500));
-    cell.store.trouble.slow = 80;
+    cell.store.injected.latency_factor = 80;
     for (int i = 0; i < 60; ++i) {
-        const TaskFacts facts = small_facts(3, 800);
+        const StepModel facts = small_step(3, 800);
         cell.submit("job" + std::to_string(i), spec_of({ facts }), { facts }, false);
         cell.world.run_for(Millis(50));
     }
     cell.kill(cell.leader(), Millis(5000));
     if (list_lapses)
         list_only(cell, "w1");
-    cell.store.trouble.slow = 1;
+    cell.store.injected.latency_factor = 1;
     cell.world.run_for(Millis(4000));
     list_all(cell);
     cell.world.run_for(Millis(40000));
-    return cell.verdict();
+    return cell.final_violations();
 }
 
 } // namespace
 
-BOOST_TEST_GLOBAL_FIXTURE(QuietLog);
+BOOST_TEST_GLOBAL_FIXTURE(LogFixture);
 
 // Found in the emulator: a new leader held back jobs of which tasks may run without a
 // record only while a listed worker was silent. Workers that the list lacked at that time
@@ -69,7 +69,7 @@
             const auto wrong = run_take_over(seed, list_lapses);
             BOOST_TEST(wrong.empty(),
                        "seed " << seed << ", list lapses: " << list_lapses
-                               << joined(wrong));
+                               << join_lines(wrong));
         }
     }
 }
--- a/src/jobs.lib/worker_load.cpp
+++ b/src/jobs.lib/worker_load.cpp
@@ -16,9 +16,9 @@
 
 } // namespace
 
-void WorkerLoad::add(const TaskId& task, const Occupant& occupant)
+void WorkerLoad::add(const TaskId& task, const Allocation& occupant)
 {
-    if (!m_occupants.emplace(task.to_string(), occupant).second)
+    if (!m_allocations.emplace(task.to_string(), occupant).second)
         return;
     ++m_step_counts[step_name(task)];
     m_used = m_used + occupant.need;
@@ -38,13 +38,13 @@
 
 bool WorkerLoad::remove(const TaskId& task, int64_t run)
 {
-    const auto found = m_occupants.find(task.to_string());
-    if (found == m_occupants.end() || found->second.run != run)
+    const auto found = m_allocations.find(task.to_string());
+    if (found == m_allocations.end() || found->second.run != run)
         return false;
     m_used = m_used - found->second.need;
     Resources& alike = used_by(found->second.priority);
     alike = alike - found->second.need;
-    m_occupants.erase(found);
+    m_allocations.erase(found);
     const auto count = m_step_counts.find(step_name(task));
     if (--count->second == 0)
         m_step_counts.erase(count);
@@ -58,13 +58,13 @@
 
 bool WorkerLoad::holds(const TaskId& task) const
 {
-    return m_occupants.count(task.to_string()) > 0;
+    return m_allocations.count(task.to_string()) > 0;
 }
 
-const Occupant* WorkerLoad::find(const TaskId& task, int64_t run) const
+const Allocation* WorkerLoad::find(const TaskId& task, int64_t run) const
 {
-    const auto found = m_occupants.find(task.to_string());
-    const bool there = found != m_occupants.end() && found->second.run == run;
+    const auto found = m_allocations.find(task.to_string());
+    const bool there = found != m_allocations.end() && found->second.run == run;
     return there ? &found->second : nullptr;
 }
 
--- a/src/jobs.lib/worker_load.h
+++ b/src/jobs.lib/worker_load.h
@@ -19,7 +19,7 @@
 namespace pathport::jobs {
 
 /// What one task takes of a worker.
-struct Occupant {
+struct Allocation {
     int64_t run = 0;
     Resources need;
     int priority = 0; ///< Of its queue.
@@ -32,15 +32,15 @@
 class WorkerLoad {
 public:
     /// Adds a task; does nothing when the task holds room there already.
-    void add(const TaskId& task, const Occupant& occupant);
+    void add(const TaskId& task, const Allocation& occupant);
     /// Removes a run of a task; returns whether it was there.
     bool remove(const TaskId& task, int64_t run);
     void clear();
 
-    bool empty() const { return m_occupants.empty(); }
+    bool empty() const { return m_allocations.empty(); }
     bool holds(const TaskId& task) const;
     /// Returns what this run of the task holds there, or nothing.
-    const Occupant* find(const TaskId& task, int64_t run) const;
+    const Allocation* find(const TaskId& task, int64_t run) const;
     /// Returns whether this run of the task holds room there.
     bool holds(const TaskId& task, int64_t run) const;
     /// Returns the sum of what all tasks take.
@@ -50,12 +50,12 @@
     /// Returns how many tasks of the step named "<job>.<repeat>.<step>" are there.
     int count_of_step(const std::string& step) const;
     /// Returns the tasks, by name.
-    const std::map<std::string, Occupant>& occupants() const { return m_occupants; }
+    const std::map<std::string, Allocation>& allocations() const { return m_allocations; }
 
 private:
     Resources& used_by(int priority);
 
-    std::map<std::string, Occupant> m_occupants;
+    std::map<std::string, Allocation> m_allocations;
     std::map<std::string, int> m_step_counts;
     /// By rising priority; a cell has a handful of them.
     std::vector<std::pair<int, Resources>> m_used_by_priority;
--- a/src/jobs.lib/worker_relay.cpp
+++ b/src/jobs.lib/worker_relay.cpp
@@ -84,14 +84,14 @@
     const std::string name = request.incarnation;
     Leader& leader = m_leaders[name];
     leader.epoch = request.epoch;
-    leader.heard = m_loop.now();
-    if (leader.held)
+    leader.last_heard = m_loop.now();
+    if (leader.held_responder)
         reply(leader);
-    leader.held = std::move(done);
+    leader.held_responder = std::move(done);
     m_loop.cancel(leader.hold_timer);
-    leader.hold_timer = m_loop.after(relay_hold, m_lifetime.wrap([this, name] {
+    leader.hold_timer = m_loop.after(relay_poll_wait, m_lifetime.wrap([this, name] {
         const auto held = m_leaders.find(name);
-        if (held != m_leaders.end() && held->second.held)
+        if (held != m_leaders.end() && held->second.held_responder)
             reply(held->second);
     }));
     if (!leader.answers.empty())
@@ -103,8 +103,9 @@
 void WorkerRelay::forget_silent_leaders()
 {
     for (auto entry = m_leaders.begin(); entry != m_leaders.end();) {
-        const bool silent = m_loop.now() - entry->second.heard > leader_forgotten;
-        entry = silent && !entry->second.held ? m_leaders.erase(entry) : std::next(entry);
+        const bool silent = m_loop.now() - entry->second.last_heard > leader_forgotten;
+        entry = silent && !entry->second.held_responder ? m_leaders.erase(entry)
+                                                        : std::next(entry);
     }
 }
 
@@ -122,15 +123,15 @@
     case RelayedKind::stop:
         m_workers.stop(worker, call.run, call.timeout, done);
         break;
-    case RelayedKind::pace:
-        m_workers.pace(worker, call.run, call.timeout, done);
+    case RelayedKind::set_speed:
+        m_workers.set_speed(worker, call.run, call.timeout, done);
         break;
-    case RelayedKind::look:
-        m_workers.look(
-            worker, call.look, call.timeout,
+    case RelayedKind::poll:
+        m_workers.poll(
+            worker, call.poll, call.timeout,
             m_lifetime.wrap(
-                [this, leader, call](OrderStatus status, std::optional<LookReport> report) {
-                    look_answered(leader, call, status, std::move(report));
+                [this, leader, call](OrderStatus status, std::optional<PollReport> report) {
+                    poll_answered(leader, call, status, std::move(report));
                 }));
         break;
     }
@@ -139,7 +140,7 @@
 void WorkerRelay::start(const std::string& leader, RelayedCall call)
 {
     const std::string& job = call.start.task.job;
-    if (call.payload_left_out) {
+    if (call.payload_omitted) {
         const std::string* payload = m_payloads.find(job);
         if (payload == nullptr) {
             fetch_payload(leader, call);
@@ -164,23 +165,23 @@
     relayed.status = answer.status;
     relayed.clock_ms = answer.clock_ms;
     const bool confirms = answer.status == OrderStatus::accepted;
-    answered(leader, std::move(relayed), confirms ? usual_delay : urgent_delay);
+    queue_answer(leader, std::move(relayed), confirms ? usual_delay : urgent_delay);
 }
 
-void WorkerRelay::look_answered(const std::string& name, const RelayedCall& call,
-                                OrderStatus status, std::optional<LookReport> report)
+void WorkerRelay::poll_answered(const std::string& name, const RelayedCall& call,
+                                OrderStatus status, std::optional<PollReport> report)
 {
     const auto leader = m_leaders.find(name);
     if (leader == m_leaders.end())
         return;
     const Millis now = m_loop.now();
-    const bool waited = call.look.wait > Millis(0);
+    const bool waited = call.poll.wait > Millis(0);
     const bool confirms
         = status == OrderStatus::accepted && report && report->ended.empty() && waited;
-    Millis& told = leader->second.running_told[call.worker];
+    Millis& told = leader->second.running_reported_at[call.worker];
     if (report && waited && now - told < running_interval) {
         report->running.clear();
-        report->running_left_out = true;
+        report->running_omitted = true;
     } else if (report) {
         told = now;
     }
@@ -188,38 +189,38 @@
     relayed.number = call.number;
     relayed.status = status;
     relayed.report = std::move(report);
-    answered(name, std::move(relayed), confirms ? usual_delay : urgent_delay);
+    queue_answer(name, std::move(relayed), confirms ? usual_delay : urgent_delay);
 }
 
 void WorkerRelay::fetch_payload(const std::string& leader, const RelayedCall& call)
 {
     const std::string job = call.start.task.job;
-    auto& waiting = m_waiting[job];
+    auto& waiting = m_waiting_starts[job];
     waiting.emplace_back(leader, call);
     if (waiting.size() > 1)
         return;
-    if (call.payload_from.empty()) {
-        payload_came(job, PeerEnd::refused, {});
+    if (call.payload_source.empty()) {
+        payload_received(job, PeerEnd::refused, {});
         return;
     }
     PeerRequest request;
     request.topic = PeerTopic::job_payload;
     request.node = m_node;
     request.job = job;
-    m_peers.send(call.payload_from, request, payload_timeout,
+    m_peers.send(call.payload_source, request, payload_timeout,
                  m_lifetime.wrap([this, job](PeerEnd end, const PeerAnswer& answer) {
-                     payload_came(job, end, answer);
+                     payload_received(job, end, answer);
                  }));
 }
 
-void WorkerRelay::payload_came(const std::string& job, PeerEnd end,
-                               const PeerAnswer& answer)
+void WorkerRelay::payload_received(const std::string& job, PeerEnd end,
+                                   const PeerAnswer& answer)
 {
-    const auto found = m_waiting.find(job);
-    if (found == m_waiting.end())
+    const auto found = m_waiting_starts.find(job);
+    if (found == m_waiting_starts.end())
         return;
     const auto waiting = std::move(found->second);
-    m_waiting.erase(found);
+    m_waiting_starts.erase(found);
     const bool there = end == PeerEnd::answered && answer.served;
     if (there)
         m_payloads.put(job, answer.row);
@@ -227,18 +228,18 @@
         if (there) {
             RelayedCall whole = call;
             whole.start.payload = answer.row;
-            whole.payload_left_out = false;
+            whole.payload_omitted = false;
             start(leader, std::move(whole));
             continue;
         }
         RelayedAnswer missing;
         missing.number = call.number;
         missing.payload_missing = true;
-        answered(leader, std::move(missing), urgent_delay);
+        queue_answer(leader, std::move(missing), urgent_delay);
     }
 }
 
-void WorkerRelay::answered(const std::string& name, RelayedAnswer answer, Millis delay)
+void WorkerRelay::queue_answer(const std::string& name, RelayedAnswer answer, Millis delay)
 {
     const auto found = m_leaders.find(name);
     if (found == m_leaders.end())
@@ -254,7 +255,7 @@
         const auto waiting = m_leaders.find(name);
         if (waiting == m_leaders.end() || waiting->second.reply_at != at)
             return; // A sooner one has taken the answers along.
-        if (waiting->second.held && !waiting->second.answers.empty())
+        if (waiting->second.held_responder && !waiting->second.answers.empty())
             reply(waiting->second);
     }));
 }
@@ -267,8 +268,8 @@
     leader.answers.clear();
     m_loop.cancel(leader.hold_timer);
     leader.hold_timer = 0;
-    const auto done = std::move(leader.held);
-    leader.held = nullptr;
+    const auto done = std::move(leader.held_responder);
+    leader.held_responder = nullptr;
     done(std::move(answer));
 }
 
--- a/src/jobs.lib/worker_relay.h
+++ b/src/jobs.lib/worker_relay.h
@@ -42,11 +42,12 @@
     struct Leader {
         int64_t epoch = 0;
         std::vector<RelayedAnswer> answers; ///< Not sent yet.
-        PeerResponder held; ///< Its last message, not answered yet.
+        PeerResponder held_responder; ///< Its last message, not answered yet.
         EventLoop::TimerId hold_timer = 0;
         Millis reply_at; ///< When the next reply is due, if there are answers.
-        Millis heard;
-        std::map<std::string, Millis> running_told; ///< By worker: when all was last told.
+        Millis last_heard;
+        std::map<std::string, Millis>
+            running_reported_at; ///< By worker: when all was last told.
     };
 
     PeerAnswer empty_answer() const;
@@ -56,12 +57,12 @@
     void make_call(const std::string& leader, const RelayedCall& call);
     void start(const std::string& leader, RelayedCall call);
     void fetch_payload(const std::string& leader, const RelayedCall& call);
-    void payload_came(const std::string& job, PeerEnd end, const PeerAnswer& answer);
-    void look_answered(const std::string& leader, const RelayedCall& call,
-                       OrderStatus status, std::optional<LookReport> report);
+    void payload_received(const std::string& job, PeerEnd end, const PeerAnswer& answer);
+    void poll_answered(const std::string& leader, const RelayedCall& call,
+                       OrderStatus status, std::optional<PollReport> report);
     void order_answered(const std::string& leader, int64_t number,
                         const OrderAnswer& answer);
-    void answered(const std::string& leader, RelayedAnswer answer, Millis delay);
+    void queue_answer(const std::string& leader, RelayedAnswer answer, Millis delay);
     void reply(Leader& leader);
 
     EventLoop& m_loop;
@@ -73,7 +74,8 @@
     int64_t m_epoch = 0; ///< The highest of a leader that was heard of.
     std::map<std::string, Leader> m_leaders; ///< By process.
     /// Starts that wait for the payload of a job, with their leaders.
-    std::map<std::string, std::vector<std::pair<std::string, RelayedCall>>> m_waiting;
+    std::map<std::string, std::vector<std::pair<std::string, RelayedCall>>>
+        m_waiting_starts;
     Lifetime m_lifetime;
 };
 
--- a/src/jobs.lib/worker_session.cpp
+++ b/src/jobs.lib/worker_session.cpp
@@ -37,7 +37,7 @@
 
 } // namespace
 
-bool LookReport::lists(const TaskId& task, int64_t run) const
+bool PollReport::lists(const TaskId& task, int64_t run) const
 {
     const auto is_run
         = [&](const auto& entry) { return entry.task == task && entry.run == run; };
@@ -62,9 +62,9 @@
         return "bad_ticket";
     case OrderStatus::declined:
         return "declined";
-    case OrderStatus::other_life:
+    case OrderStatus::wrong_incarnation:
         return "other_life";
-    case OrderStatus::reborn:
+    case OrderStatus::replaced:
         return "reborn";
     case OrderStatus::refused:
         return "refused";
@@ -78,8 +78,8 @@
 
 WorkerSession::WorkerSession(EventLoop& loop, WorkerClient& client,
                              SessionListener& listener, WorkerInfo info, int64_t epoch,
-                             int64_t least_fence, WorkerBounds bounds, Millis unknown_until,
-                             Mechanisms mechanisms)
+                             int64_t least_fence, WorkerTimeouts bounds,
+                             Millis unknown_until, Mechanisms mechanisms)
     : m_loop(loop)
     , m_client(client)
     , m_listener(listener)
@@ -87,16 +87,16 @@
     , m_bounds(bounds)
     , m_fence(std::max(epoch * fences_per_epoch + 1, least_fence))
     , m_mechanisms(mechanisms)
-    , m_response(mechanisms.uses(Mechanism::learned_timeouts) ? least_answer_time
-                                                              : most_answer_time,
-                 most_answer_time)
-    , m_lapse_at(unknown_until)
+    , m_response_time(mechanisms.uses(Mechanism::learned_timeouts) ? least_answer_time
+                                                                   : most_answer_time,
+                      most_answer_time)
+    , m_lease_expires_at(unknown_until)
 {
 }
 
 WorkerSession::~WorkerSession()
 {
-    m_loop.cancel(m_look_timer);
+    m_loop.cancel(m_poll_timer);
     for (const auto& [key, stop] : m_stops)
         m_loop.cancel(stop.timer);
 }
@@ -108,104 +108,105 @@
     m_left = false;
 }
 
-void WorkerSession::begin()
+void WorkerSession::start_polling()
 {
-    look(false);
+    poll(false);
 }
 
 bool WorkerSession::has_open_order(const TaskId& task) const
 {
-    if (m_unanswered.count(task.to_string()) > 0)
+    if (m_open_starts.count(task.to_string()) > 0)
         return true;
-    return std::any_of(m_doubtful.begin(), m_doubtful.end(),
-                       [&](const Doubt& doubt) { return doubt.task == task; });
+    return std::any_of(m_uncertain_starts.begin(), m_uncertain_starts.end(),
+                       [&](const UncertainStart& doubt) { return doubt.task == task; });
 }
 
-void WorkerSession::schedule_look(Millis delay)
+void WorkerSession::schedule_poll(Millis delay)
 {
     const Millis at = m_loop.now() + delay;
-    if (m_over || (m_look_timer != 0 && m_look_at <= at))
+    if (m_ended || (m_poll_timer != 0 && m_poll_at <= at))
         return;
-    m_loop.cancel(m_look_timer);
-    m_look_at = at;
-    m_look_timer = m_loop.after(delay, m_lifetime.wrap([this] {
-        m_look_timer = 0;
-        look(true);
+    m_loop.cancel(m_poll_timer);
+    m_poll_at = at;
+    m_poll_timer = m_loop.after(delay, m_lifetime.wrap([this] {
+        m_poll_timer = 0;
+        poll(true);
     }));
 }
 
-void WorkerSession::look(bool may_wait)
+void WorkerSession::poll(bool may_wait)
 {
-    if (m_over)
+    if (m_ended)
         return;
-    if (!m_listener.may_order()) {
-        schedule_look(look_retry);
+    if (!m_listener.orders_allowed()) {
+        schedule_poll(look_retry);
         return;
     }
-    LookOrder order;
+    PollRequest order;
     order.fence = m_fence;
-    order.seen_through = news_for_worker();
+    order.acked_through = ends_to_acknowledge();
     // A silent worker's lease is left to run out: a renewal that may arrive would put off
     // the time from which its tasks can be placed elsewhere.
     // So it is while a successor would find that time in the head row.
-    const bool renews = m_failed_looks == 0 && m_listener.may_lease(*this);
-    order.hold_until = renews ? hold_until() : 0;
-    order.wait = wait_of_look(may_wait);
-    note_lease(order.hold_until);
-    ++m_looks_open;
+    const bool renews = m_failed_polls == 0 && m_listener.may_renew_lease(*this);
+    order.lease_until = renews ? lease_until() : 0;
+    order.wait = poll_wait(may_wait);
+    extend_lease_expiry(order.lease_until);
+    ++m_open_polls;
     const Millis asked = m_loop.now();
-    m_look_started = asked;
-    m_client.look(
-        m_info, order, order.wait + m_response.limit(),
-        m_lifetime.wrap([this, fence = order.fence, until = order.hold_until,
-                         told = order.seen_through, asked, waited = order.wait > Millis(0)](
-                            OrderStatus status, const std::optional<LookReport>& report) {
-            --m_looks_open;
-            if (!waited)
-                note_response(status, asked);
-            else if (status == OrderStatus::unknown)
-                m_listener.answer_missing();
-            if (status == OrderStatus::accepted && report)
-                note_forgotten(*report, told);
-            look_answered(status, report, fence, until, asked);
-        }));
+    m_poll_started = asked;
+    m_client.poll(m_info, order, order.wait + m_response_time.timeout(),
+                  m_lifetime.wrap(
+                      [this, fence = order.fence, until = order.lease_until,
+                       told = order.acked_through, asked, waited = order.wait > Millis(0)](
+                          OrderStatus status, const std::optional<PollReport>& report) {
+                          --m_open_polls;
+                          if (!waited)
+                              record_response(status, asked);
+                          else if (status == OrderStatus::unknown)
+                              m_listener.call_timed_out();
+                          if (status == OrderStatus::accepted && report)
+                              update_forgotten(*report, told);
+                          poll_answered(status, report, fence, until, asked);
+                      }));
 }
 
 // A look that is to be answered at once waits for nothing. Nor does one after a look that
 // failed: the worker may be another life, and only the answer tells.
-Millis WorkerSession::wait_of_look(bool may_wait) const
+Millis WorkerSession::poll_wait(bool may_wait) const
 {
-    if (!may_wait || !settled() || m_recorded != m_listed || m_failed_looks > 0)
+    if (!may_wait || !settled() || m_last_recorded_end != m_last_listed_end
+        || m_failed_polls > 0)
         return Millis(0);
     if (m_busy && m_mechanisms.uses(Mechanism::short_looks)
-        && m_listener.answers_go_missing())
+        && m_listener.has_recent_timeouts())
         return lossy_look_wait;
     return m_busy && m_mechanisms.uses(Mechanism::short_looks) ? busy_look_wait
                                                                : idle_look_wait;
 }
 
-void WorkerSession::note_response(OrderStatus status, Millis asked)
+void WorkerSession::record_response(OrderStatus status, Millis asked)
 {
     if (status == OrderStatus::unknown || status == OrderStatus::unreachable) {
-        m_response.note_missing();
-        m_listener.answer_missing();
+        m_response_time.add_timeout();
+        m_listener.call_timed_out();
         return;
     }
-    m_response.note(m_loop.now() - asked);
+    m_response_time.add_sample(m_loop.now() - asked);
 }
 
-void WorkerSession::look_answered(OrderStatus status,
-                                  const std::optional<LookReport>& report, int64_t fence,
+void WorkerSession::poll_answered(OrderStatus status,
+                                  const std::optional<PollReport>& report, int64_t fence,
                                   int64_t until, Millis asked)
 {
-    if (m_over)
+    if (m_ended)
         return;
-    if (status == OrderStatus::other_life) {
-        end_life();
+    if (status == OrderStatus::wrong_incarnation) {
+        end_incarnation();
         return;
     }
-    if (status == OrderStatus::reborn) {
-        end_reborn();
+    if (status == OrderStatus::replaced) {
+        end_replaced();
         return;
     }
     if (status == OrderStatus::stale_fence && fence == m_fence) {
@@ -213,90 +214,90 @@
         return;
     }
     if (status != OrderStatus::accepted || !report) {
-        look_failed(status, asked);
+        poll_failed(status, asked);
         return;
     }
     const bool regained = m_silent;
     if (regained)
         log_event(LogLevel::info, "worker_regained", { { "worker", id() } });
     m_silent = false;
-    m_refuses = false;
-    m_failed_looks = 0;
-    note_answer(report->clock_ms, until);
+    m_refuses_connections = false;
+    m_failed_polls = 0;
+    update_clock(report->clock_ms, until);
     const auto alive = m_lifetime.observe();
-    report_arrived(*report, fence, asked);
-    if (alive.expired() || m_over)
+    handle_report(*report, fence, asked);
+    if (alive.expired() || m_ended)
         return;
     if (regained)
         send_stops();
     // One look is open at a time, but for doubts, which the next look is to resolve.
-    if (m_looks_open > 0 && m_doubtful.empty())
+    if (m_open_polls > 0 && m_uncertain_starts.empty())
         return;
     // Ends that were just listed are recorded soon, and ends_recorded() then looks again.
     // Nor is there haste for one that the worker lists on: to be told, it needs a
     // connection.
-    schedule_look(m_forgotten < m_listed ? unrecorded_pause : Millis(0));
+    schedule_poll(m_last_forgotten_end < m_last_listed_end ? unrecorded_pause : Millis(0));
 }
 
-void WorkerSession::look_failed(OrderStatus status, Millis asked)
+void WorkerSession::poll_failed(OrderStatus status, Millis asked)
 {
     const Millis now = m_loop.now();
-    ++m_failed_looks;
-    m_refuses = status == OrderStatus::refused;
-    if (!m_silent && m_failed_looks >= 2) {
+    ++m_failed_polls;
+    m_refuses_connections = status == OrderStatus::refused;
+    if (!m_silent && m_failed_polls >= 2) {
         m_silent = true;
         log_event(LogLevel::warn, "worker_lost",
                   { { "worker", id() },
                     { "outcome", to_string(status) },
                     { "waited_ms", (now - asked).count() },
-                    { "lapses_in_ms", (m_lapse_at - now).count() } });
-        m_listener.lost(*this);
+                    { "lapses_in_ms", (m_lease_expires_at - now).count() } });
+        m_listener.worker_lost(*this);
     }
     const auto alive = m_lifetime.observe();
-    check_lapse();
-    if (alive.expired() || m_over)
+    check_lease_expiry();
+    if (alive.expired() || m_ended)
         return;
-    if (m_looks_open > 0 && m_doubtful.empty())
+    if (m_open_polls > 0 && m_uncertain_starts.empty())
         return;
     // A time-out would not tell: the worker may be cut off and go on until its lease ends.
     if (status == OrderStatus::refused && m_left) {
-        end_life();
+        end_incarnation();
         return;
     }
-    schedule_look(m_failed_looks == 1 ? first_look_retry : look_retry);
+    schedule_poll(m_failed_polls == 1 ? first_look_retry : look_retry);
 }
 
-void WorkerSession::report_arrived(const LookReport& report, int64_t fence, Millis asked)
+void WorkerSession::handle_report(const PollReport& report, int64_t fence, Millis asked)
 {
     m_fenced = true;
     confirm_starts(report, asked);
-    resolve_doubts(report, fence);
-    LookReport fresh;
+    resolve_uncertain_starts(report, fence);
+    PollReport fresh;
     fresh.clock_ms = report.clock_ms;
     // Answers may pass each other, also those of one millisecond: what runs in an older one
     // may have ended since.
-    const bool newest = report.clock_ms > m_reported_ms;
+    const bool newest = report.clock_ms > m_last_report_clock_ms;
     if (!newest)
-        tell_outdated(report);
-    m_reported_ms = std::max(m_reported_ms, report.clock_ms);
+        log_outdated_report(report);
+    m_last_report_clock_ms = std::max(m_last_report_clock_ms, report.clock_ms);
     if (newest)
         fresh.running = report.running;
-    fresh.running_left_out = report.running_left_out || !newest;
+    fresh.running_omitted = report.running_omitted || !newest;
     const ReportStage stage
-        = take_stage(report.lists_all_ends() && !fresh.running_left_out);
+        = advance_stage(report.lists_all_ends() && !fresh.running_omitted);
     for (const EndedTask& end : report.ended) {
-        if (end.number > m_listed)
+        if (end.number > m_last_listed_end)
             fresh.ended.push_back(end);
     }
     if (!fresh.ended.empty())
-        m_listed = fresh.ended.back().number;
+        m_last_listed_end = fresh.ended.back().number;
     const std::vector<StopRequest> noted = drop_ended_stops(report, fresh);
-    const bool whole = !fresh.running_left_out && report.lists_all_ends();
+    const bool whole = !fresh.running_omitted && report.lists_all_ends();
     if (whole)
-        m_known_as_of = std::max(m_known_as_of, asked);
+        m_last_full_report = std::max(m_last_full_report, asked);
     const auto alive = m_lifetime.observe();
-    m_listener.reported(*this, fresh, stage);
-    if (alive.expired() || m_over)
+    m_listener.report_received(*this, fresh, stage);
+    if (alive.expired() || m_ended)
         return;
     for (const StopRequest& request : noted)
         m_listener.run_gone(*this, request.task, request.run);
@@ -305,49 +306,49 @@
 }
 
 // Reports cross now and then; a clock that stays behind is another one.
-void WorkerSession::tell_outdated(const LookReport& report)
+void WorkerSession::log_outdated_report(const PollReport& report)
 {
     const Millis now = m_loop.now();
-    const int64_t behind_ms = m_reported_ms - report.clock_ms;
-    if (behind_ms < crossing_time.count() || now - m_outdated_told < outdated_pause)
+    const int64_t behind_ms = m_last_report_clock_ms - report.clock_ms;
+    if (behind_ms < crossing_time.count() || now - m_outdated_logged_at < outdated_pause)
         return;
-    m_outdated_told = now;
+    m_outdated_logged_at = now;
     log_event(LogLevel::warn, "worker_report_outdated",
               { { "worker", id() },
                 { "clock_ms", report.clock_ms },
                 { "behind_ms", behind_ms },
                 { "running", static_cast<int64_t>(report.running.size()) },
                 { "ended", static_cast<int64_t>(report.ended.size()) },
-                { "listed", m_listed },
-                { "recorded", m_recorded } });
+                { "listed", m_last_listed_end },
+                { "recorded", m_last_recorded_end } });
 }
 
-ReportStage WorkerSession::take_stage(bool whole)
+ReportStage WorkerSession::advance_stage(bool whole)
 {
-    if (m_reported_all)
-        return ReportStage::later;
-    m_reported_all = whole;
-    return m_reported_all ? ReportStage::first_whole : ReportStage::first_part;
+    if (m_fully_reported)
+        return ReportStage::subsequent;
+    m_fully_reported = whole;
+    return m_fully_reported ? ReportStage::first_complete : ReportStage::first_partial;
 }
 
 // Under a higher fence the worker does nothing for a late order, so what is neither there
 // now nor among all its ends never will be.
-void WorkerSession::resolve_doubts(const LookReport& report, int64_t fence)
+void WorkerSession::resolve_uncertain_starts(const PollReport& report, int64_t fence)
 {
-    std::vector<std::pair<Doubt, StartResult>> resolved;
-    for (auto doubt = m_doubtful.begin(); doubt != m_doubtful.end();) {
+    std::vector<std::pair<UncertainStart, StartResult>> resolved;
+    for (auto doubt = m_uncertain_starts.begin(); doubt != m_uncertain_starts.end();) {
         const bool there = report.lists(doubt->task, doubt->run);
-        const bool known = there || (report.lists_all_ends() && !report.running_left_out);
+        const bool known = there || (report.lists_all_ends() && !report.running_omitted);
         if (doubt->fence >= fence || !known) {
             ++doubt;
             continue;
         }
         resolved.emplace_back(std::move(*doubt),
                               there ? StartResult::running : StartResult::not_started);
-        doubt = m_doubtful.erase(doubt);
+        doubt = m_uncertain_starts.erase(doubt);
     }
     for (const auto& [doubt, result] : resolved) {
-        m_unconfirmed.erase({ doubt.task.to_string(), doubt.run });
+        m_unconfirmed_starts.erase({ doubt.task.to_string(), doubt.run });
         doubt.done(result, OrderStatus::unknown);
     }
 }
@@ -360,46 +361,46 @@
     order.task = task;
     order.run = run;
     order.payload = payload;
-    order.hold_until = hold_until();
+    order.lease_until = lease_until();
     order.fence = m_fence;
     order.checkpoint = checkpoint;
     order.ticket = ticket;
-    note_lease(order.hold_until);
-    ++m_unanswered[task.to_string()];
-    m_unconfirmed[{ task.to_string(), run }] = { task, std::nullopt };
-    Doubt open { task, run, m_fence, std::move(done) };
+    extend_lease_expiry(order.lease_until);
+    ++m_open_starts[task.to_string()];
+    m_unconfirmed_starts[{ task.to_string(), run }] = { task, std::nullopt };
+    UncertainStart open { task, run, m_fence, std::move(done) };
     const Millis asked = m_loop.now();
     m_client.start(
-        m_info, order, m_response.limit(),
+        m_info, order, m_response_time.timeout(),
         m_lifetime.wrap([this, asked, open = std::move(open)](const OrderAnswer& answer) {
-            note_response(answer.status, asked);
+            record_response(answer.status, asked);
             start_answered(answer, open);
         }));
 }
 
-void WorkerSession::start_answered(const OrderAnswer& answer, Doubt order)
+void WorkerSession::start_answered(const OrderAnswer& answer, UncertainStart order)
 {
-    const auto unanswered = m_unanswered.find(order.task.to_string());
-    if (unanswered != m_unanswered.end() && --unanswered->second == 0)
-        m_unanswered.erase(unanswered);
-    if (m_over)
+    const auto unanswered = m_open_starts.find(order.task.to_string());
+    if (unanswered != m_open_starts.end() && --unanswered->second == 0)
+        m_open_starts.erase(unanswered);
+    if (m_ended)
         return;
     const RunKey key { order.task.to_string(), order.run };
     switch (answer.status) {
     case OrderStatus::accepted:
-        m_unconfirmed[key].accepted = m_loop.now();
+        m_unconfirmed_starts[key].accepted = m_loop.now();
         order.done(StartResult::running, answer.status);
         return;
     case OrderStatus::unknown: {
-        m_doubtful.push_back(std::move(order));
+        m_uncertain_starts.push_back(std::move(order));
         raise_fence();
         return;
     }
-    case OrderStatus::other_life:
-        end_life();
+    case OrderStatus::wrong_incarnation:
+        end_incarnation();
         return;
-    case OrderStatus::reborn:
-        end_reborn();
+    case OrderStatus::replaced:
+        end_replaced();
         return;
     case OrderStatus::stale_fence:
         if (order.fence == m_fence) {
@@ -409,12 +410,12 @@
         break;
     case OrderStatus::refused:
     case OrderStatus::unreachable:
-        schedule_look(Millis(0));
+        schedule_poll(Millis(0));
         break;
     default:
         break;
     }
-    m_unconfirmed.erase(key);
+    m_unconfirmed_starts.erase(key);
     order.done(StartResult::not_started, answer.status);
 }
 
@@ -422,30 +423,30 @@
 {
     // Orders under way with the present fence may be refused for it; they are placed anew.
     const bool raised
-        = std::any_of(m_doubtful.begin(), m_doubtful.end(),
-                      [&](const Doubt& doubt) { return doubt.fence == m_fence; });
+        = std::any_of(m_uncertain_starts.begin(), m_uncertain_starts.end(),
+                      [&](const UncertainStart& doubt) { return doubt.fence == m_fence; });
     if (raised)
         ++m_fence;
-    look(false);
+    poll(false);
 }
 
-void WorkerSession::pace(const TaskId& task, int64_t run, int percent)
+void WorkerSession::set_speed(const TaskId& task, int64_t run, int percent)
 {
     RunOrder order;
     order.task = task;
     order.run = run;
     order.fence = m_fence;
     order.percent = percent;
-    m_client.pace(m_info, order, m_response.limit(), [](const OrderAnswer&) {});
+    m_client.set_speed(m_info, order, m_response_time.timeout(), [](const OrderAnswer&) {});
 }
 
 void WorkerSession::ends_recorded(int64_t number)
 {
-    if (number <= m_recorded)
+    if (number <= m_last_recorded_end)
         return;
-    m_recorded = number;
-    if (m_recorded == m_listed)
-        schedule_look(Millis(0));
+    m_last_recorded_end = number;
+    if (m_last_recorded_end == m_last_listed_end)
+        schedule_poll(Millis(0));
 }
 
 } // namespace pathport::jobs
--- a/src/jobs.lib/worker_session_life.cpp
+++ b/src/jobs.lib/worker_session_incarnation.cpp
@@ -15,62 +15,63 @@
 
 // Returns what is to be told of ends that were seen. It is told until a report shows that
 // it was heard: over a new connection it isn't sent.
-int64_t WorkerSession::news_for_worker() const
+int64_t WorkerSession::ends_to_acknowledge() const
 {
-    return m_recorded > m_forgotten ? m_recorded : 0;
+    return m_last_recorded_end > m_last_forgotten_end ? m_last_recorded_end : 0;
 }
 
-void WorkerSession::note_forgotten(const LookReport& report, int64_t told)
+void WorkerSession::update_forgotten(const PollReport& report, int64_t told)
 {
     const bool lists_one
         = std::any_of(report.ended.begin(), report.ended.end(),
                       [told](const EndedTask& end) { return end.number <= told; });
     if (!lists_one)
-        m_forgotten = std::max(m_forgotten, told);
+        m_last_forgotten_end = std::max(m_last_forgotten_end, told);
 }
 
 // A report is of this life. So it was there when a start was accepted before the look was
 // sent, and when one was carried out that it lists.
-void WorkerSession::confirm_starts(const LookReport& report, Millis asked)
+void WorkerSession::confirm_starts(const PollReport& report, Millis asked)
 {
-    for (auto start = m_unconfirmed.begin(); start != m_unconfirmed.end();) {
+    for (auto start = m_unconfirmed_starts.begin(); start != m_unconfirmed_starts.end();) {
         const auto& [key, open] = *start;
         const bool before = open.accepted && *open.accepted <= asked;
         const bool confirmed = before || report.lists(open.task, key.second);
-        start = confirmed ? m_unconfirmed.erase(start) : std::next(start);
+        start = confirmed ? m_unconfirmed_starts.erase(start) : std::next(start);
     }
 }
 
 std::vector<TaskRun> WorkerSession::unconfirmed_starts() const
 {
     std::vector<TaskRun> starts;
-    for (const auto& [key, open] : m_unconfirmed)
+    for (const auto& [key, open] : m_unconfirmed_starts)
         starts.push_back({ open.task, key.second });
     return starts;
 }
 
-void WorkerSession::succeeded()
+void WorkerSession::mark_replaced()
 {
-    end_reborn();
+    end_replaced();
 }
 
-void WorkerSession::end_reborn()
+void WorkerSession::end_replaced()
 {
-    m_reborn = true;
-    end_life();
+    m_replaced = true;
+    end_incarnation();
 }
 
-void WorkerSession::end_life()
+void WorkerSession::end_incarnation()
 {
-    if (m_over)
+    if (m_ended)
         return;
-    m_over = true;
-    m_loop.cancel(m_look_timer);
-    log_event(LogLevel::info, "worker_life_over",
-              { { "worker", id() },
-                { "reborn", m_reborn ? "yes" : "no" },
-                { "unconfirmed_starts", static_cast<int64_t>(m_unconfirmed.size()) } });
-    m_listener.life_over(*this);
+    m_ended = true;
+    m_loop.cancel(m_poll_timer);
+    log_event(
+        LogLevel::info, "worker_life_over",
+        { { "worker", id() },
+          { "reborn", m_replaced ? "yes" : "no" },
+          { "unconfirmed_starts", static_cast<int64_t>(m_unconfirmed_starts.size()) } });
+    m_listener.incarnation_ended(*this);
 }
 
 } // namespace pathport::jobs
--- a/src/jobs.lib/worker_session_stops.cpp
+++ b/src/jobs.lib/worker_session_stops.cpp
@@ -32,9 +32,9 @@
         return "preempted";
     case StopReason::gang_incomplete:
         return "gang_incomplete";
-    case StopReason::stands_still:
+    case StopReason::stalled:
         return "stands_still";
-    case StopReason::worker_drains:
+    case StopReason::worker_draining:
         return "worker_drains";
     case StopReason::unknown_run:
         break;
@@ -45,14 +45,14 @@
 void WorkerSession::stop(const TaskId& task, int64_t run, StopReason reason)
 {
     const RunKey key { task.to_string(), run };
-    if (m_over || m_stops.count(key) > 0)
+    if (m_ended || m_stops.count(key) > 0)
         return;
     StopRequest request;
     request.task = task;
     request.run = run;
     request.reason = reason;
-    request.asked = m_loop.now();
-    request.told_overdue = request.asked;
+    request.requested_at = m_loop.now();
+    request.overdue_logged_at = request.requested_at;
     m_stops[key] = request;
     log_event(LogLevel::info, "task_stop",
               { { "job", task.job },
@@ -64,22 +64,22 @@
     send_stop(key);
 }
 
-void WorkerSession::tell_overdue(StopRequest& request)
+void WorkerSession::log_overdue_stop(StopRequest& request)
 {
     const Millis now = m_loop.now();
-    if (now - request.told_overdue < overdue_stop)
+    if (now - request.overdue_logged_at < overdue_stop)
         return;
-    request.told_overdue = now;
+    request.overdue_logged_at = now;
     log_event(LogLevel::warn, "task_stop_overdue",
               { { "job", request.task.job },
                 { "task", request.task.to_string() },
                 { "run", request.run },
                 { "worker", id() },
                 { "reason", to_string(request.reason) },
-                { "sent", request.sent },
-                { "last_answer", to_string(request.answer) },
+                { "sent", request.attempts },
+                { "last_answer", to_string(request.last_status) },
                 { "silent", m_silent ? "yes" : "no" },
-                { "after_ms", (now - request.asked).count() } });
+                { "after_ms", (now - request.requested_at).count() } });
 }
 
 // Those that waited for a worker that was silent go out at once.
@@ -95,33 +95,34 @@
 void WorkerSession::send_stop(const RunKey& key)
 {
     const auto entry = m_stops.find(key);
-    if (m_over || entry == m_stops.end())
+    if (m_ended || entry == m_stops.end())
         return;
     StopRequest& request = entry->second;
     m_loop.cancel(request.timer);
     request.timer
         = m_loop.after(stop_retry, m_lifetime.wrap([this, key] { send_stop(key); }));
-    tell_overdue(request);
+    log_overdue_stop(request);
     // Also while looks get no answer: a stop may go through on another connection.
-    if (!m_listener.may_order() || (m_silent && m_stops_open >= most_stops_while_silent))
+    if (!m_listener.orders_allowed()
+        || (m_silent && m_open_stops >= most_stops_while_silent))
         return;
     RunOrder order;
     order.task = request.task;
     order.run = request.run;
     order.fence = m_fence;
-    ++request.sent;
-    ++m_stops_open;
+    ++request.attempts;
+    ++m_open_stops;
     m_client.stop(
-        m_info, order, m_response.limit(),
+        m_info, order, m_response_time.timeout(),
         m_lifetime.wrap([this, key, fence = order.fence](const OrderAnswer& answer) {
-            --m_stops_open;
+            --m_open_stops;
             const auto open = m_stops.find(key);
             if (open != m_stops.end())
-                open->second.answer = answer.status;
-            if (answer.status == OrderStatus::other_life)
-                end_life();
-            else if (answer.status == OrderStatus::reborn)
-                end_reborn();
+                open->second.last_status = answer.status;
+            if (answer.status == OrderStatus::wrong_incarnation)
+                end_incarnation();
+            else if (answer.status == OrderStatus::replaced)
+                end_replaced();
             else if (answer.status == OrderStatus::stale_fence && fence < m_fence)
                 send_stop(key);
         }));
@@ -129,7 +130,7 @@
 
 // Returns those whose end was noted before: the listener will not hear of it again.
 std::vector<WorkerSession::StopRequest>
-WorkerSession::drop_ended_stops(const LookReport& report, const LookReport& fresh)
+WorkerSession::drop_ended_stops(const PollReport& report, const PollReport& fresh)
 {
     std::vector<StopRequest> noted;
     if (m_stops.empty())
@@ -150,12 +151,12 @@
 
 // A run that the report of a later look does not list is not there. Its end was noted
 // before, or it never was: a stop would be repeated for ever.
-void WorkerSession::drop_gone_stops(const LookReport& report, Millis asked)
+void WorkerSession::drop_gone_stops(const PollReport& report, Millis asked)
 {
     std::vector<StopRequest> gone;
     for (auto stop = m_stops.begin(); stop != m_stops.end();) {
         const StopRequest& request = stop->second;
-        if (request.asked >= asked || report.lists(request.task, request.run)) {
+        if (request.requested_at >= asked || report.lists(request.task, request.run)) {
             ++stop;
             continue;
         }
--- a/src/loop.lib/async_http_client.cpp
+++ b/src/loop.lib/async_http_client.cpp
@@ -80,7 +80,7 @@
         std::unique_ptr<http::response_parser<http::string_body>> parser;
 
         /// Returns when the server should have answered.
-        Millis due() const { return sent + call.hold; }
+        Millis due() const { return sent + call.max_response_delay; }
         /// Returns whether any byte of the answer has come.
         bool heard() const
         {
@@ -317,8 +317,8 @@
     static std::string& body_for(Exchange& exchange)
     {
         ClientCall& call = exchange.call;
-        const bool proven = exchange.connection->number < call.opened_by;
-        return proven ? call.body_if_opened : call.body;
+        const bool proven = exchange.connection->number < call.opened_before_call;
+        return proven ? call.reused_connection_body : call.body;
     }
 
     static std::string path_of(const ClientCall& call)
@@ -391,8 +391,8 @@
     Millis extended_time(const Exchange& exchange) const
     {
         const Millis timeout = exchange.call.timeout;
-        const Millis latest
-            = std::max(exchange.sent + timeout, exchange.due() + m_limits.longest_answer);
+        const Millis latest = std::max(exchange.sent + timeout,
+                                       exchange.due() + m_limits.max_response_time);
         return std::min(timeout, latest - exchange.last_heard);
     }
 
@@ -404,7 +404,7 @@
         }
         CallOutcome outcome;
         outcome.end = CallEnd::answered;
-        outcome.number = exchange->number;
+        outcome.sequence = exchange->number;
         outcome.status = exchange->parser->get().result_int();
         outcome.body = std::move(exchange->parser->get().body());
         if (exchange->parser->get().keep_alive())
@@ -502,7 +502,7 @@
     m_impl->send(std::move(call), std::move(done));
 }
 
-void AsyncHttpClient::forget(const Address& server)
+void AsyncHttpClient::close_idle_connections(const Address& server)
 {
     m_impl->forget(server);
 }
@@ -512,7 +512,7 @@
     return m_impl->traffic();
 }
 
-bool AsyncHttpClient::receiving(const std::string& path) const
+bool AsyncHttpClient::is_receiving(const std::string& path) const
 {
     return m_impl->receiving(path);
 }
--- a/src/loop.lib/async_http_server.cpp
+++ b/src/loop.lib/async_http_server.cpp
@@ -135,7 +135,7 @@
         request.received = m_server->loop.now();
         m_stream.expires_never();
         m_server->handler(std::move(request),
-                          [self = shared_from_this()](ServerAnswer answer) {
+                          [self = shared_from_this()](ServerResponse answer) {
                               self->write(std::move(answer));
                           });
     }
@@ -155,13 +155,13 @@
         m_keep_alive = false;
         m_busy = true;
         ++m_server->under_way;
-        ServerAnswer answer;
+        ServerResponse answer;
         answer.status = status;
         answer.body = R"({"error":"bad_request"})";
         write(std::move(answer));
     }
 
-    void write(ServerAnswer answer)
+    void write(ServerResponse answer)
     {
         m_response = {};
         m_response.version(11);
@@ -269,12 +269,12 @@
     return m_impl->start();
 }
 
-void AsyncHttpServer::keep_header(const std::string& name)
+void AsyncHttpServer::capture_header(const std::string& name)
 {
     m_impl->kept_headers.push_back(name);
 }
 
-void AsyncHttpServer::close_after_answers()
+void AsyncHttpServer::close_after_responses()
 {
     m_impl->draining = true;
 }
@@ -284,7 +284,7 @@
     m_impl->drain();
 }
 
-size_t AsyncHttpServer::requests_under_way() const
+size_t AsyncHttpServer::requests_in_progress() const
 {
     return m_impl->under_way;
 }
--- a/src/loop.lib/loop_test.cpp
+++ b/src/loop.lib/loop_test.cpp
@@ -44,7 +44,7 @@
 
 void echo(const ServerRequest& request, const ServerReply& reply)
 {
-    ServerAnswer answer;
+    ServerResponse answer;
     answer.body = request.method + " " + request.target + " "
         + std::to_string(request.time_limit.count()) + " " + request.body;
     reply(std::move(answer));
@@ -107,11 +107,11 @@
     BOOST_REQUIRE(server.start());
     AsyncHttpClient client(loop);
     BOOST_TEST(send_and_run(loop, client, call_with("1")).status == 200);
-    server.close_after_answers();
+    server.close_after_responses();
     BOOST_TEST(send_and_run(loop, client, call_with("2")).status == 200);
     server.drain();
     BOOST_TEST((send_and_run(loop, client, call_with("3")).end == CallEnd::refused));
-    BOOST_TEST(server.requests_under_way() == 0U);
+    BOOST_TEST(server.requests_in_progress() == 0U);
 }
 
 // A server may reset connections over a number of its own, and those of dead clients count.
@@ -195,20 +195,20 @@
     AsyncHttpClient client(loop);
     const auto body_sent = [&](int64_t opened_by) {
         ClientCall call = call_with("any");
-        call.body_if_opened = "known";
-        call.opened_by = opened_by;
+        call.reused_connection_body = "known";
+        call.opened_before_call = opened_by;
         const CallOutcome outcome = send_and_run(loop, client, call);
         return outcome.body.substr(outcome.body.rfind(' ') + 1);
     };
     const CallOutcome first = send_and_run(loop, client, call_with("first"));
-    BOOST_REQUIRE(first.number > 0);
+    BOOST_REQUIRE(first.sequence > 0);
     BOOST_TEST(body_sent(0) == "any");
-    BOOST_TEST(body_sent(first.number) == "known");
-    client.forget(address);
-    BOOST_TEST(body_sent(first.number) == "any");
+    BOOST_TEST(body_sent(first.sequence) == "known");
+    client.close_idle_connections(address);
+    BOOST_TEST(body_sent(first.sequence) == "any");
     const CallOutcome later = send_and_run(loop, client, call_with("later"));
-    BOOST_TEST(body_sent(first.number) == "any");
-    BOOST_TEST(body_sent(later.number) == "known");
+    BOOST_TEST(body_sent(first.sequence) == "any");
+    BOOST_TEST(body_sent(later.sequence) == "known");
 }
 
 BOOST_AUTO_TEST_CASE(timers_fire_in_order_and_can_be_dropped)
--- a/src/loop.lib/silent_connections_test.cpp
+++ b/src/loop.lib/silent_connections_test.cpp
@@ -278,7 +278,7 @@
 {
     Fixture cell;
     ClientCall held = call_to("/wait/400", Millis(600));
-    held.hold = Millis(400);
+    held.max_response_delay = Millis(400);
     CallEnd end = CallEnd::answered;
     cell.client.send(held, [&](const CallOutcome& outcome) {
         end = outcome.end;
@@ -312,7 +312,7 @@
 {
     Fixture cell;
     ClientCall held = call_to("/wait/1500", Millis(5000));
-    held.hold = Millis(1500);
+    held.max_response_delay = Millis(1500);
     CallEnd end = CallEnd::unknown;
     cell.client.send(held, [&](const CallOutcome& outcome) { end = outcome.end; });
     cell.run_for(late_time);
--- a/src/loop.lib/slow_answers_test.cpp
+++ b/src/loop.lib/slow_answers_test.cpp
@@ -203,12 +203,12 @@
 BOOST_AUTO_TEST_CASE(answer_that_never_ends_is_cut_off)
 {
     ClientLimits limits;
-    limits.longest_answer = call_time + piece_interval;
+    limits.max_response_time = call_time + piece_interval;
     Fixture cell(limits);
     const Millis begun = cell.loop.now();
     const CallOutcome outcome = cell.send(call_to_feed());
     BOOST_TEST((outcome.end == CallEnd::unknown));
-    BOOST_TEST((cell.loop.now() - begun >= limits.longest_answer));
+    BOOST_TEST((cell.loop.now() - begun >= limits.max_response_time));
 }
 
 BOOST_AUTO_TEST_CASE(answer_under_way_is_seen_while_its_bytes_come)
@@ -218,15 +218,15 @@
     ClientCall call = call_to_feed();
     call.timeout = long_past;
     bool ended = false;
-    BOOST_TEST(!cell.client.receiving(feed));
+    BOOST_TEST(!cell.client.is_receiving(feed));
     cell.client.send(call, [&](const CallOutcome&) { ended = true; });
-    BOOST_TEST(!cell.client.receiving(feed));
+    BOOST_TEST(!cell.client.is_receiving(feed));
     cell.run_for(piece_interval);
-    BOOST_TEST(cell.client.receiving(feed));
-    BOOST_TEST(!cell.client.receiving("/fee"));
+    BOOST_TEST(cell.client.is_receiving(feed));
+    BOOST_TEST(!cell.client.is_receiving("/fee"));
     // The server sends nothing more, and the call waits on.
     cell.run_for(all_pieces);
-    BOOST_TEST(!cell.client.receiving(feed));
+    BOOST_TEST(!cell.client.is_receiving(feed));
     BOOST_TEST(!ended);
 }
 
@@ -234,5 +234,5 @@
 {
     Fixture cell;
     BOOST_TEST((cell.send(call_to_feed()).end == CallEnd::answered));
-    BOOST_TEST(!cell.client.receiving(feed));
+    BOOST_TEST(!cell.client.is_receiving(feed));
 }
--- a/src/pathport_jobd/http_peers.cpp
+++ b/src/pathport_jobd/http_peers.cpp
@@ -14,7 +14,7 @@
 Millis hold_of(jobs::PeerTopic topic, Millis timeout)
 {
     if (topic == jobs::PeerTopic::worker_calls)
-        return jobs::relay_hold;
+        return jobs::relay_poll_wait;
     // It waits for the advisor or the store on our behalf.
     const bool asks_others = topic == jobs::PeerTopic::advice
         || topic == jobs::PeerTopic::accept_job || topic == jobs::PeerTopic::cancel_job
@@ -24,13 +24,13 @@
 
 } // namespace
 
-HttpPeers::HttpPeers(AsyncHttpClient& http)
+HttpPeerClient::HttpPeerClient(AsyncHttpClient& http)
     : m_http(http)
 {
 }
 
-void HttpPeers::send(const std::string& address, const jobs::PeerRequest& request,
-                     Millis timeout, jobs::PeerReply done)
+void HttpPeerClient::send(const std::string& address, const jobs::PeerRequest& request,
+                          Millis timeout, jobs::PeerReply done)
 {
     ClientCall call;
     const auto server = parse_address(address);
@@ -39,7 +39,7 @@
     call.target = peer_target + to_string(request.topic);
     call.body = encode(request);
     call.timeout = timeout;
-    call.hold = hold_of(request.topic, timeout);
+    call.max_response_delay = hold_of(request.topic, timeout);
     m_http.send(std::move(call), [done = std::move(done)](const CallOutcome& outcome) {
         if (outcome.end == CallEnd::refused) {
             done(jobs::PeerEnd::refused, {});
@@ -58,13 +58,13 @@
 {
     const auto message = jobs::decode_peer_request(request.body);
     if (request.target.rfind(peer_target, 0) != 0 || !message) {
-        ServerAnswer answer;
+        ServerResponse answer;
         answer.status = 400;
         reply(std::move(answer));
         return;
     }
     node.handle_peer(*message, [reply](const jobs::PeerAnswer& answer) {
-        ServerAnswer out;
+        ServerResponse out;
         out.body = encode(answer);
         reply(std::move(out));
     });
--- a/src/pathport_jobd/http_peers.h
+++ b/src/pathport_jobd/http_peers.h
@@ -13,9 +13,9 @@
 namespace pathport {
 
 /// Sends messages to peers.
-class HttpPeers : public jobs::PeerClient {
+class HttpPeerClient : public jobs::PeerClient {
 public:
-    explicit HttpPeers(AsyncHttpClient& http);
+    explicit HttpPeerClient(AsyncHttpClient& http);
 
     void send(const std::string& address, const jobs::PeerRequest& request, Millis timeout,
               jobs::PeerReply done) override;
--- a/src/pathport_jobd/jobd_settings.cpp
+++ b/src/pathport_jobd/jobd_settings.cpp
@@ -99,8 +99,8 @@
     settings.stop_grace = file->millis("node", "stop_grace_ms");
     const double cores = file->decimal("machine", "processor_share")
         * file->decimal("machine", "processor_cores");
-    settings.strength = static_cast<int>(cores * millis_of_a_core);
-    settings.link_bytes
+    settings.cpu_millicores = static_cast<int>(cores * millis_of_a_core);
+    settings.link_bytes_per_s
         = static_cast<int64_t>(file->decimal("machine", "link_mbps") * bytes_in_megabit);
     settings.clients = address_of(*file, "listen", "clients");
     settings.readiness = address_of(*file, "listen", "readiness");
--- a/src/pathport_jobd/jobd_settings.h
+++ b/src/pathport_jobd/jobd_settings.h
@@ -30,8 +30,8 @@
     Millis drain; ///< Within it a worker that announces its end gets no new task any more.
     Millis stop_grace; ///< How long a planned stop may take.
     jobs::Mechanisms mechanisms; ///< For experiments only.
-    int64_t link_bytes = 0; ///< That the box's link moves in a second.
-    int strength = 0; ///< Processor time that it may use, in thousandths of a core.
+    int64_t link_bytes_per_s = 0; ///< That the box's link moves in a second.
+    int cpu_millicores = 0; ///< Processor time that it may use, in thousandths of a core.
 
     /// Reads a file. On failure returns nothing, and `reason` names the key, its value and
     /// what is allowed.
--- a/src/pathport_jobd/main.cpp
+++ b/src/pathport_jobd/main.cpp
@@ -7,12 +7,12 @@
 
 #include "http_peers.h"
 #include "jobd_settings.h"
-#include "process_watch.h"
+#include "process_monitor.h"
 #include "workspaces_page.h"
 
-#include <platform/client_calls.h>
+#include <platform/client_request_handler.h>
+#include <platform/http_worker_client.h>
 #include <platform/store_client.h>
-#include <platform/worker_orders.h>
 
 #include <pathport/ids.h>
 #include <pathport/jobs/job_node.h>
@@ -93,7 +93,7 @@
     int run()
     {
         m_loop.on_signals([this](int number) { on_signal(number); });
-        m_clients.keep_header(platform::key_header);
+        m_clients.capture_header(platform::api_key_header);
         if (!m_peer_server.start() || !m_clients.start() || !m_readiness.start()) {
             std::cerr << "pathport_jobd: an address can't be used" << std::endl;
             return exit_no_start;
@@ -125,15 +125,15 @@
         setup.peer_address = settings.peers.to_string();
         setup.incarnation = random_token();
         setup.gang_timeout = settings.gang_timeout;
-        setup.drain = settings.drain;
+        setup.drain_margin = settings.drain;
         setup.mechanisms = settings.mechanisms;
-        setup.hand_over_by = Millis(settings.stop_grace.count() / 2);
-        setup.max_hold = settings.max_hold;
-        setup.link_bytes = settings.link_bytes;
+        setup.max_hand_over_delay = Millis(settings.stop_grace.count() / 2);
+        setup.max_lease = settings.max_hold;
+        setup.link_bytes_per_s = settings.link_bytes_per_s;
         setup.kill_grace = settings.kill_grace;
         // All nodes are alike in an experiment without this.
-        setup.strength = settings.mechanisms.uses(jobs::Mechanism::strongest_leads)
-            ? settings.strength
+        setup.cpu_millicores = settings.mechanisms.uses(jobs::Mechanism::strongest_leads)
+            ? settings.cpu_millicores
             : 1;
         return setup;
     }
@@ -145,22 +145,22 @@
         return limits;
     }
 
-    ServerAnswer metrics_answer()
+    ServerResponse metrics_answer()
     {
         const ProcessUsage usage = process_usage();
         m_metrics.set("pathport_process_cpu_seconds", double(usage.cpu.count()) / 1000);
         m_metrics.set("pathport_process_resident_bytes", double(usage.resident_kb) * 1024);
         m_node.update_gauges();
-        ServerAnswer answer;
+        ServerResponse answer;
         answer.content_type = "text/plain; version=0.0.4";
         answer.body = m_metrics.text();
         return answer;
     }
 
     // What the leader knows of each workspace; an empty list elsewhere.
-    ServerAnswer workspaces_answer()
+    ServerResponse workspaces_answer()
     {
-        ServerAnswer answer;
+        ServerResponse answer;
         answer.body = workspaces_page(m_node.leads(), m_node.workspace_loads());
         return answer;
     }
@@ -209,9 +209,9 @@
             return;
         m_stopping = true;
         log_event(LogLevel::info, "stopping", {});
-        m_node.leave();
+        m_node.begin_shutdown();
         // The balancer sees the node leave; requests on open connections are served on.
-        m_clients.close_after_answers();
+        m_clients.close_after_responses();
         m_loop.after(m_settings.stop_grace - closing_time, [this] {
             m_clients.drain();
             stop_when_idle();
@@ -221,7 +221,7 @@
 
     void stop_when_idle()
     {
-        if (m_clients.requests_under_way() == 0) {
+        if (m_clients.requests_in_progress() == 0) {
             m_loop.stop();
             return;
         }
@@ -233,18 +233,18 @@
     AsyncHttpClient m_http;
     AsyncHttpClient m_worker_http;
     platform::StoreClient m_store;
-    platform::WorkerOrders m_workers;
+    platform::HttpWorkerClient m_workers;
     platform::AdviceClient m_advice;
-    HttpPeers m_peers;
+    HttpPeerClient m_peers;
     Metrics m_metrics;
     jobs::JobNode m_node;
-    platform::ClientCalls m_calls;
+    platform::ClientRequestHandler m_calls;
     AsyncHttpServer m_clients;
     AsyncHttpServer m_readiness;
     AsyncHttpServer m_peer_server;
     AsyncHttpServer m_metrics_server;
     HttpTrafficByPath m_told_traffic;
-    ProcessWatch m_watch { m_loop, m_metrics };
+    ProcessMonitor m_watch { m_loop, m_metrics };
     bool m_stopping = false;
 };
 
--- a/src/pathport_jobd/process_watch.cpp
+++ b/src/pathport_jobd/process_monitor.cpp
@@ -1,7 +1,7 @@
 // Copyright the pathport authors.
 // SPDX-License-Identifier: Apache-2.0
 
-#include "process_watch.h"
+#include "process_monitor.h"
 
 #include <pathport/log.h>
 #include <pathport/process.h>
@@ -23,47 +23,47 @@
 
 } // namespace
 
-ProcessWatch::ProcessWatch(EventLoop& loop, Metrics& metrics)
+ProcessMonitor::ProcessMonitor(EventLoop& loop, Metrics& metrics)
     : m_loop(loop)
     , m_metrics(metrics)
 {
 }
 
-void ProcessWatch::begin()
+void ProcessMonitor::begin()
 {
-    m_told = m_loop.now();
-    m_cpu_told = process_usage().cpu;
-    m_due = m_told + look_interval;
-    m_loop.after(look_interval, [this] { look(); });
+    m_last_report = m_loop.now();
+    m_cpu_at_last_report = process_usage().cpu;
+    m_next_sample = m_last_report + look_interval;
+    m_loop.after(look_interval, [this] { sample(); });
 }
 
-void ProcessWatch::look()
+void ProcessMonitor::sample()
 {
     const Millis now = m_loop.now();
-    const Millis late = std::max(Millis(0), now - m_due);
-    m_latest = std::max(m_latest, late);
+    const Millis late = std::max(Millis(0), now - m_next_sample);
+    m_max_delay = std::max(m_max_delay, late);
     m_metrics.observe_seconds("pathport_loop_late_seconds", double(late.count()) / 1000);
     if (late > told_pause)
         log_event(LogLevel::warn, "process_paused", { { "late_ms", late.count() } });
-    if (now - m_told >= tell_interval)
-        tell();
-    m_due = now + look_interval;
-    m_loop.after(look_interval, [this] { look(); });
+    if (now - m_last_report >= tell_interval)
+        report();
+    m_next_sample = now + look_interval;
+    m_loop.after(look_interval, [this] { sample(); });
 }
 
-void ProcessWatch::tell()
+void ProcessMonitor::report()
 {
-    const Millis span = m_loop.now() - m_told;
+    const Millis span = m_loop.now() - m_last_report;
     const Millis cpu = process_usage().cpu;
-    const Millis used = cpu - m_cpu_told;
-    if (m_latest >= least_late || used.count() * least_cpu_part >= span.count())
+    const Millis used = cpu - m_cpu_at_last_report;
+    if (m_max_delay >= least_late || used.count() * least_cpu_part >= span.count())
         log_event(LogLevel::info, "process_load",
                   { { "span_ms", span.count() },
                     { "cpu_ms", used.count() },
-                    { "late_ms", m_latest.count() } });
-    m_told = m_loop.now();
-    m_cpu_told = cpu;
-    m_latest = Millis(0);
+                    { "late_ms", m_max_delay.count() } });
+    m_last_report = m_loop.now();
+    m_cpu_at_last_report = cpu;
+    m_max_delay = Millis(0);
 }
 
 } // namespace pathport
--- a/src/pathport_jobd/process_watch.h
+++ b/src/pathport_jobd/process_monitor.h
@@ -14,24 +14,24 @@
 namespace pathport {
 
 /// Watches the process of a loop, and tells of it in the log and the metrics.
-class ProcessWatch {
+class ProcessMonitor {
 public:
     /// Both outlive this object.
-    ProcessWatch(EventLoop& loop, Metrics& metrics);
+    ProcessMonitor(EventLoop& loop, Metrics& metrics);
 
     /// Begins; goes on as long as the loop runs.
     void begin();
 
 private:
-    void look();
-    void tell();
+    void sample();
+    void report();
 
     EventLoop& m_loop;
     Metrics& m_metrics;
-    Millis m_due; ///< When the next look should be.
-    Millis m_told; ///< When the log last told of it.
-    Millis m_cpu_told; ///< Processor time used by then.
-    Millis m_latest; ///< The latest look since then.
+    Millis m_next_sample; ///< When the next look should be.
+    Millis m_last_report; ///< When the log last told of it.
+    Millis m_cpu_at_last_report; ///< Processor time used by then.
+    Millis m_max_delay; ///< The latest look since then.
 };
 
 } // namespace pathport
--- a/src/pathportbench/cell.cpp
+++ b/src/pathportbench/cell.cpp
@@ -13,7 +13,7 @@
 
 using namespace pathport;
 using emulator::Cell;
-using emulator::TaskFacts;
+using emulator::StepModel;
 
 namespace {
 
@@ -29,9 +29,9 @@
     int gangs = 0; ///< Jobs of 20 tasks that run together.
 };
 
-TaskFacts facts_of(int count, int64_t run_ms, int64_t cpu_millis, bool gang)
+StepModel facts_of(int count, int64_t run_ms, int64_t cpu_millis, bool gang)
 {
-    TaskFacts facts;
+    StepModel facts;
     facts.count = count;
     facts.run_ms = run_ms;
     facts.need = { cpu_millis, 1000, 0 };
@@ -40,7 +40,7 @@
     return facts;
 }
 
-jobs::JobSpec spec_of(const TaskFacts& facts)
+jobs::JobSpec spec_of(const StepModel& facts)
 {
     jobs::StepSpec entry;
     entry.count = facts.count;
@@ -53,7 +53,7 @@
     return spec;
 }
 
-void submit(Cell& cell, int& number, const TaskFacts& facts, bool advised)
+void submit(Cell& cell, int& number, const StepModel& facts, bool advised)
 {
     cell.submit("job" + std::to_string(number++), spec_of(facts), { facts }, advised);
 }
@@ -61,7 +61,7 @@
 void run_load(const Load& load)
 {
     Cell cell(1, load.nodes, load.workers);
-    cell.workers.advice_time = Millis(20);
+    cell.workers.default_advice_latency = Millis(20);
     cell.world.run_for(Millis(2000));
     const auto begun = std::chrono::steady_clock::now();
     int number = 0;
