--- a/src/jobs.lib/advice_pool.h
+++ b/src/jobs.lib/advice_pool.h
@@ -2,8 +2,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Spreads calls for advice over the nodes: the advisor serves one call at a time for each
-/// node that calls it.
+/// Spreads advisor queries over the nodes, since the advisor serves one call at a time per
+/// calling node.
 
 #pragma once
 
@@ -23,23 +23,22 @@
 
 namespace pathport::jobs {
 
-/// A question to the advisor.
+/// A query to the advisor.
 struct AdviceQuery {
     std::string queue; ///< Of the job; queues share the callers.
     std::string step; ///< "<job>.<repeat>.<step>".
     std::vector<std::string> workers;
     AdviceRule rule;
     int priority = 0; ///< Of the queue; 0 goes first.
-    Millis waiting_since; ///< Since when the step waits; zero when others of it run.
+    Millis waiting_since; ///< Since when the step waits; zero while other tasks of it run.
 };
 
-/// The answer: the tickets, and when the question left.
+/// The answer to a query.
 struct AdviceReply {
-    std::optional<std::vector<WorkerTicket>> tickets; ///< Nothing when there was no answer.
+    std::optional<std::vector<WorkerTicket>> tickets; ///< Empty if there was no answer.
 };
 
-/// The questions that wait for a free caller, by how long the advisor takes for them, and
-/// the callers that may be used at present.
+/// Queries that wait for a free caller, by latency class, and the number of usable callers.
 struct AdviceBacklog {
     int fast = 0;
     int medium = 0;
@@ -47,7 +46,7 @@
     int callers = 0;
 };
 
-/// Asks through this node and its peers.
+/// Sends queries through this node and its peers.
 class AdvicePool {
 public:
     AdvicePool(EventLoop& loop, Advisor& advisor, PeerClient& peers,
@@ -56,57 +55,56 @@
     /// Sets the addresses of the other nodes.
     void set_peers(const std::vector<std::string>& addresses);
 
-    /// Asks; `done` is called exactly once, later.
-    void ask(AdviceQuery question, std::function<void(AdviceReply)> done);
+    /// Sends a query; `done` is called exactly once, later.
+    void ask(AdviceQuery query, std::function<void(AdviceReply)> done);
 
-    /// Returns how many questions wait for a free caller.
+    /// Returns the number of queries that wait for a free caller.
     size_t waiting() const { return m_pending.size(); }
-    /// Returns how many of them are of `queue`.
+    /// Returns the number of those that are of `queue`.
     size_t waiting_of(const std::string& queue) const;
     AdviceBacklog backlog() const;
-    /// Returns how many questions the advisor works on at a time for the callers that may
-    /// be used, less what the questions of priority 0 took of that lately.
+    /// Returns how many queries the advisor processes at a time for the usable callers,
+    /// less the recent share of priority 0.
     double spare_callers() const;
 
 private:
-    /// A node through which questions go; the empty address is this node.
+    /// A node through which queries go; the empty address is this node.
     struct Caller {
         std::string address;
         int in_flight = 0;
-        double cost_ms = 0; ///< Of the questions under way, at the advisor.
+        double cost_ms = 0; ///< Advisor time of the queries in flight.
         Millis avoid_until;
     };
     struct PendingQuery {
-        AdviceQuery question;
+        AdviceQuery query;
         std::function<void(AdviceReply)> done;
     };
-    /// The callers that may be used, and which of them are for questions of one pace.
+    /// The usable callers, and the range of them that serves one latency class.
     struct CallerRange {
         std::vector<Caller*> usable;
         size_t begin = 0;
         size_t end = 0;
     };
-    /// The advisor's time that a queue has had, weighted by its priority and halved every
-    /// `share_half_life`.
+    /// Advisor time used by a queue, weighted by its priority and decaying with the
+    /// half-life `share_half_life_ms`.
     struct AdvisorUsage {
         double cost_ms = 0;
-        Millis at; ///< When `cost_ms` was last brought up to date.
+        Millis at; ///< When `cost_ms` was last updated.
     };
 
-    /// How long the advisor takes for a question.
+    /// How long the advisor takes for a query.
     enum class LatencyClass { fast, medium, slow };
 
     static LatencyClass latency_class(const AdviceRule& rule);
-    CallerRange callers_for(LatencyClass pace);
-    /// Returns a caller for a question of this pace that is not among those held for
-    /// others.
-    Caller* free_caller(LatencyClass pace, const std::vector<Caller*>& held);
+    CallerRange callers_for(LatencyClass query_class);
+    /// Returns a caller for a query of this class that is not in `reserved`.
+    Caller* free_caller(LatencyClass query_class, const std::vector<Caller*>& reserved);
     double decayed_cost(const std::string& queue) const;
-    double decayed_cost(const AdvisorUsage& share) const;
-    void charge(const AdviceQuery& question);
+    double decayed_cost(const AdvisorUsage& usage) const;
+    void charge(const AdviceQuery& query);
     std::vector<size_t> dispatch_order() const;
     void dispatch();
-    bool is_overdue(const AdviceQuery& question) const;
+    bool is_overdue(const AdviceQuery& query) const;
     bool dispatch_one();
     void send(Caller& caller, PendingQuery entry);
     void finished(const std::string& address, const AdviceReply& reply,
@@ -119,7 +117,7 @@
     std::vector<Caller> m_callers;
     std::deque<PendingQuery> m_pending; ///< In order of arrival.
     std::map<std::string, AdvisorUsage> m_queue_usage; ///< By queue.
-    AdvisorUsage m_urgent_usage; ///< The same of the questions of priority 0, not weighted.
+    AdvisorUsage m_urgent_usage; ///< The same for queries of priority 0, not weighted.
     Lifetime m_lifetime;
 };
 
--- a/src/jobs.lib/advice_pool_test.cpp
+++ b/src/jobs.lib/advice_pool_test.cpp
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Which caller takes which question for advice.
+/// Assignment of advisor queries to callers.
 
 #define BOOST_TEST_MODULE advice_pool
 #include <boost/test/unit_test.hpp>
@@ -19,7 +19,7 @@
 
 namespace {
 
-/// Answers each question after its cost and counts what it was asked.
+/// Answers each query after a fixed time and records its step.
 class CountingAdvisor : public Advisor {
 public:
     explicit CountingAdvisor(emulator::World& world)
@@ -59,19 +59,19 @@
     emulator::World& m_world;
 };
 
-AdviceQuery question_of(const std::string& step, int priority, double decision_ms)
+AdviceQuery query_of(const std::string& step, int priority, double decision_ms)
 {
-    AdviceQuery question;
-    question.step = step;
-    question.workers = { "w" };
-    question.rule = { decision_ms, 1, 2000 };
-    question.priority = priority;
-    return question;
+    AdviceQuery query;
+    query.step = step;
+    query.workers = { "w" };
+    query.rule = { decision_ms, 1, 2000 };
+    query.priority = priority;
+    return query;
 }
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(urgent_questions_overtake_and_slow_ones_use_other_callers)
+BOOST_AUTO_TEST_CASE(urgent_queries_overtake_and_slow_ones_use_other_callers)
 {
     emulator::World world(8);
     emulator::ProcessLoop loop(world);
@@ -79,22 +79,22 @@
     SilentPeers peers(world);
     AdvicePool pool(loop, advisor, peers);
     const auto ignore = [](const AdviceReply&) {};
-    pool.ask(question_of("a", 2, 10), ignore);
-    pool.ask(question_of("b", 2, 10), ignore);
-    pool.ask(question_of("c", 2, 10), ignore);
-    pool.ask(question_of("urgent", 0, 10), ignore);
+    pool.ask(query_of("a", 2, 10), ignore);
+    pool.ask(query_of("b", 2, 10), ignore);
+    pool.ask(query_of("c", 2, 10), ignore);
+    pool.ask(query_of("urgent", 0, 10), ignore);
     world.run_for(Millis(500));
     BOOST_REQUIRE(advisor.asked.size() == 4U);
     BOOST_TEST(advisor.asked[2] == "urgent");
     pool.set_peers({ "10.0.0.2:1" });
-    pool.ask(question_of("slow", 1, 400), ignore);
+    pool.ask(query_of("slow", 1, 400), ignore);
     world.run_for(Millis(10));
     BOOST_TEST(peers.sent == 1);
     BOOST_TEST(advisor.asked.size() == 4U);
 }
 
-// A slow question must not hold up faster ones behind it at the advisor.
-BOOST_AUTO_TEST_CASE(each_class_of_questions_has_callers_of_its_own)
+// A slow query must not delay faster ones behind it at the advisor.
+BOOST_AUTO_TEST_CASE(each_latency_class_has_its_own_callers)
 {
     emulator::World world(9);
     emulator::ProcessLoop loop(world);
@@ -104,9 +104,9 @@
     pool.set_peers({ "medium", "slow1", "slow2" });
     const auto ignore = [](const AdviceReply&) {};
     for (const char* step : { "s1", "s2", "s3" })
-        pool.ask(question_of(step, 1, 500), ignore);
-    pool.ask(question_of("f1", 0, 5), ignore);
-    pool.ask(question_of("m1", 2, 60), ignore);
+        pool.ask(query_of(step, 1, 500), ignore);
+    pool.ask(query_of("f1", 0, 5), ignore);
+    pool.ask(query_of("m1", 2, 60), ignore);
     world.run_for(Millis(10));
     const std::vector<std::string> fast { "f1" };
     const std::vector<std::string> medium { "m1" };
@@ -117,8 +117,8 @@
     BOOST_TEST(pool.waiting() == 1U);
 }
 
-// Steps of an urgent queue that wait for room may ask again and again. The advisor's time
-// is shared, so a less urgent queue gets its answers too.
+// Steps of an urgent queue that wait for capacity may send queries again and again. Since
+// the advisor's time is shared, a less urgent queue still gets its answers.
 BOOST_AUTO_TEST_CASE(no_queue_takes_all_of_the_advisors_time)
 {
     emulator::World world(10);
@@ -128,9 +128,9 @@
     AdvicePool pool(loop, advisor, peers);
     const auto ask = [&pool](const std::string& queue, const std::string& step,
                              int priority, std::function<void(AdviceReply)> done) {
-        AdviceQuery question = question_of(step, priority, 400);
-        question.queue = queue;
-        pool.ask(question, std::move(done));
+        AdviceQuery query = query_of(step, priority, 400);
+        query.queue = queue;
+        pool.ask(query, std::move(done));
     };
     std::function<void(AdviceReply)> again = [&](const AdviceReply&) {
         ask("scans", "scan", 1, [&](const AdviceReply& reply) { again(reply); });
@@ -149,36 +149,36 @@
     BOOST_TEST(scans >= 12);
 }
 
-// A slow question needs an idle caller, and quick ones that keep coming leave none idle.
-BOOST_AUTO_TEST_CASE(step_that_waits_long_has_a_caller_kept_for_it)
+// A slow query needs an idle caller, and a steady flow of fast queries leaves none idle.
+BOOST_AUTO_TEST_CASE(overdue_step_has_a_caller_reserved)
 {
-    for (const size_t peers_left : { size_t(0), size_t(1) }) {
+    for (const size_t peer_count : { size_t(0), size_t(1) }) {
         emulator::World world(11);
         emulator::ProcessLoop loop(world);
         CountingAdvisor advisor(world);
         SilentPeers peers(world);
         AdvicePool pool(loop, advisor, peers);
-        if (peers_left > 0)
+        if (peer_count > 0)
             pool.set_peers({ "b" });
         std::function<void(AdviceReply)> again = [&](const AdviceReply&) {
-            pool.ask(question_of("quick", 2, 30),
+            pool.ask(query_of("quick", 2, 30),
                      [&](const AdviceReply& reply) { again(reply); });
         };
         for (int i = 0; i < 6; ++i)
             again({});
-        AdviceQuery slow = question_of("slow", 1, 500);
+        AdviceQuery slow = query_of("slow", 1, 500);
         slow.waiting_since = world.now();
         bool answered = false;
         pool.ask(slow, [&](const AdviceReply&) { answered = true; });
         world.run_for(Millis(3000));
         const bool at_peer = !peers.asked["b"].empty()
             && std::count(peers.asked["b"].begin(), peers.asked["b"].end(), "slow") > 0;
-        BOOST_TEST((answered || at_peer), peers_left << " peers");
+        BOOST_TEST((answered || at_peer), peer_count << " peers");
     }
 }
 
-// A slow question that has only just come leaves idle callers to quicker ones.
-BOOST_AUTO_TEST_CASE(fresh_slow_questions_leave_the_callers_of_quicker_ones)
+// A slow query that has just arrived leaves idle callers to faster ones.
+BOOST_AUTO_TEST_CASE(new_slow_queries_leave_the_callers_of_faster_ones)
 {
     emulator::World world(13);
     emulator::ProcessLoop loop(world);
@@ -187,7 +187,7 @@
     AdvicePool pool(loop, advisor, peers);
     pool.set_peers({ "b", "c" });
     for (const char* step : { "s1", "s2" }) {
-        AdviceQuery slow = question_of(step, 1, 500);
+        AdviceQuery slow = query_of(step, 1, 500);
         slow.waiting_since = world.now();
         pool.ask(slow, [](const AdviceReply&) {});
     }
--- a/src/jobs.lib/advice_share_test.cpp
+++ b/src/jobs.lib/advice_share_test.cpp
@@ -2,8 +2,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// The advisor's time is scarce. A whole cell with slow questions: steps that wait for a
-/// scarce resource must not keep others, for which there is room, from being asked about.
+/// Sharing of scarce advisor time in a whole cell with slow queries: steps that wait for a
+/// scarce resource must not keep the advisor from steps for which capacity is free.
 
 #define BOOST_TEST_MODULE advice_share
 #include <boost/test/unit_test.hpp>
@@ -54,10 +54,10 @@
 
 } // namespace
 
-// Found on random days of a site with accelerators: steps of an urgent queue, short of room
-// on the workers that they may use, asked again and again; those of another queue, with
-// most of the room free, were asked about no worker for 15 s.
-BOOST_AUTO_TEST_CASE(steps_with_room_are_asked_about_while_urgent_ones_wait)
+// Urgent steps without enough capacity on their allowed workers repeated their queries over
+// and over. For 15 s no query was sent for the steps of another queue, although most of the
+// capacity was free, on a site with accelerators.
+BOOST_AUTO_TEST_CASE(steps_with_capacity_get_advice_while_urgent_ones_wait)
 {
     for (const uint64_t seed : { 1, 2, 3 }) {
         Cell cell(seed, 3, 14);
--- a/src/jobs.lib/bounds_test.cpp
+++ b/src/jobs.lib/bounds_test.cpp
@@ -2,9 +2,10 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// What a workspace has running stays within its bound where the leader can't see all of
-/// it: tasks on workers that are cut off while leaders change, also of a job that is
-/// cancelled meanwhile; and where the bound falls, or a wide gang waits below it.
+/// Guards against a workspace exceeding its bound where the leader cannot see all of its
+/// tasks: tasks on partitioned workers while leaders change, including those of a job that
+/// is cancelled meanwhile. Also covers a bound that is lowered and a wide gang that waits
+/// below the bound.
 
 #define BOOST_TEST_MODULE bounds
 #include <boost/test/unit_test.hpp>
@@ -31,7 +32,7 @@
     return facts;
 }
 
-/// A cell of three nodes with a workspace that may have four processors.
+/// A cell of three nodes with a workspace bound of four processors.
 struct BoundedCell {
     explicit BoundedCell(uint64_t seed)
         : cell(seed, 3, 8)
@@ -46,8 +47,9 @@
         cell_tests::submit(cell, "q0", id, { facts }, key);
     }
 
-    /// Every other worker falls silent and runs on, and another node becomes the leader.
-    void change_leader_unseen(Millis span)
+    /// Partitions every other worker, whose tasks run on, and makes another node the
+    /// leader.
+    void partition_and_change_leader(Millis span)
     {
         const auto ids = cell.workers.ids();
         for (size_t i = 0; i < ids.size(); i += 2)
@@ -72,7 +74,7 @@
         BoundedCell bounded(seed);
         bounded.submit("first", one_core_step(4, 5500));
         bounded.cell.world.run_for(Millis(600));
-        bounded.change_leader_unseen(Millis(4000));
+        bounded.partition_and_change_leader(Millis(4000));
         bounded.submit("second", one_core_step(4, 1500));
         bounded.cell.world.run_for(Millis(20000));
         bounded.expect_within("seed " + std::to_string(seed));
@@ -81,13 +83,13 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(tasks_of_a_cancelled_job_count_until_they_are_gone)
+BOOST_AUTO_TEST_CASE(tasks_of_a_cancelled_job_count_until_they_end)
 {
     for (const uint64_t seed : { 1, 2, 3, 4 }) {
         BoundedCell bounded(seed);
         bounded.submit("first", one_core_step(4, 5500));
         bounded.cell.world.run_for(Millis(600));
-        bounded.change_leader_unseen(Millis(4500));
+        bounded.partition_and_change_leader(Millis(4500));
         bounded.cell.world.run_for(Millis(1200));
         bounded.cell.cancel("first");
         bounded.submit("second", one_core_step(4, 1500));
@@ -97,7 +99,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(a_bound_that_falls_stops_nothing_and_starts_nothing)
+BOOST_AUTO_TEST_CASE(lowered_bound_stops_nothing_and_starts_nothing)
 {
     BoundedCell bounded(5);
     bounded.submit("first", one_core_step(4, 6000));
@@ -114,8 +116,9 @@
     bounded.expect_within("a bound that fell");
 }
 
-// Steps of one task come as fast as they end; none of them would leave the gang its room.
-BOOST_AUTO_TEST_CASE(a_wide_gang_gets_its_turn_below_the_bound)
+// One-task steps arrive as fast as they end, so together they would never leave capacity
+// for the gang.
+BOOST_AUTO_TEST_CASE(wide_gang_is_placed_within_the_bound)
 {
     BoundedCell bounded(6);
     StepModel gang = one_core_step(3, 800);
@@ -130,7 +133,7 @@
     bounded.expect_within("a gang among narrower steps");
 }
 
-BOOST_AUTO_TEST_CASE(what_could_never_start_is_refused_at_once)
+BOOST_AUTO_TEST_CASE(gang_larger_than_the_bound_is_refused_at_once)
 {
     BoundedCell bounded(7);
     StepModel gang = one_core_step(5, 800);
--- a/src/jobs.lib/capacity_table.cpp
+++ b/src/jobs.lib/capacity_table.cpp
@@ -11,9 +11,9 @@
 bool CapacityRow::operator==(const CapacityRow& other) const
 {
     return free == other.free && capacity == other.capacity
-        && std::tie(service, max_new_tasks, open, slow, kept_for)
+        && std::tie(service, max_new_tasks, open, slow, reserved_for)
         == std::tie(other.service, other.max_new_tasks, other.open, other.slow,
-                    other.kept_for);
+                    other.reserved_for);
 }
 
 WorkerNumber CapacityTable::add()
@@ -30,38 +30,37 @@
 
 void CapacityTable::set(WorkerNumber number, CapacityRow row)
 {
-    row.kept_for = m_rows[number].kept_for;
+    row.reserved_for = m_rows[number].reserved_for;
     m_rows[number] = row;
 }
 
-void CapacityTable::keep(WorkerNumber number, const Step& step)
+void CapacityTable::reserve_row(WorkerNumber number, const Step& step)
 {
-    if (m_rows[number].kept_for != nullptr)
+    if (m_rows[number].reserved_for != nullptr)
         return;
-    m_rows[number].kept_for = &step;
-    m_kept.push_back(number);
+    m_rows[number].reserved_for = &step;
+    m_reserved.push_back(number);
 }
 
-void CapacityTable::release_kept()
+void CapacityTable::release_reservations()
 {
-    for (const WorkerNumber number : m_kept)
-        m_rows[number].kept_for = nullptr;
-    m_kept.clear();
+    for (const WorkerNumber number : m_reserved)
+        m_rows[number].reserved_for = nullptr;
+    m_reserved.clear();
 }
 
-int tasks_that_fit_into(const StepSpec& step, const Resources& free, int needed,
-                        int at_most)
+int tasks_that_fit_into(const StepSpec& step, const Resources& free, int needed, int limit)
 {
     const Resources& need = step.need;
-    const bool none = at_most <= 0 || free.memory_mb < need.memory_mb
+    const bool none = limit <= 0 || free.memory_mb < need.memory_mb
         || free.accelerators < need.accelerators
         || (!step.best_effort_cpu && free.cpu_millis < need.cpu_millis);
     if (none)
         return 0;
-    PlacementOption room;
-    room.free = free;
-    room.max_new_tasks = std::min(needed, at_most);
-    return tasks_that_fit(step, room);
+    PlacementOption option;
+    option.free = free;
+    option.max_new_tasks = std::min(needed, limit);
+    return tasks_that_fit(step, option);
 }
 
 } // namespace pathport::jobs
--- a/src/jobs.lib/capacity_table.h
+++ b/src/jobs.lib/capacity_table.h
@@ -2,8 +2,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// What each worker has to offer, in one array. A look for room reads it from end to end,
-/// so it holds plain numbers only: no names, no maps, nothing to follow.
+/// Free capacity of all workers in one array. Every search for capacity scans it, so it
+/// holds only plain values: no names, maps or indirections.
 
 #pragma once
 
@@ -17,25 +17,26 @@
 
 struct Step;
 
-/// Names a worker within one leader's epoch. Numbers rise and are not used again, so one
-/// that is kept longer than its worker finds a closed row.
+/// Identifies a worker within one leader's epoch. Numbers increase and are not reused, so a
+/// number kept longer than its worker refers to a closed row.
 using WorkerNumber = uint32_t;
 
-/// One worker as a look for room sees it.
+/// The data of one worker that a search for capacity needs.
 struct CapacityRow {
     Resources free;
     Resources capacity;
-    int service = 0; ///< The number of its service, as RoomTable gives it.
-    int max_new_tasks = 0; ///< Tasks that may be added for other reasons than room.
-    bool open = false; ///< It may be given tasks.
+    int service = 0; ///< Number of its service, as assigned by the scheduler.
+    int max_new_tasks = 0; ///< Limit on further tasks for reasons other than capacity.
+    bool open = false; ///< Tasks may be placed on it.
     bool slow = false; ///< Slower than others; urgent work should go elsewhere.
-    const Step* kept_for = nullptr; ///< Nobody else may use it in the present pass.
+    /// The only step that may use it in the current pass.
+    const Step* reserved_for = nullptr;
 
     bool operator==(const CapacityRow& other) const;
-    /// Returns whether `step` may use what is free.
+    /// Returns whether `step` may use the free capacity.
     bool available_to(const Step& step) const
     {
-        return kept_for == nullptr || kept_for == &step;
+        return reserved_for == nullptr || reserved_for == &step;
     }
 };
 
@@ -48,26 +49,25 @@
     void close_row(WorkerNumber number);
     /// Returns a row for reading; the number must have come from add().
     const CapacityRow& row(WorkerNumber number) const { return m_rows[number]; }
-    /// Replaces a row, but for whom it is kept for.
+    /// Replaces a row except for its reservation.
     void set(WorkerNumber number, CapacityRow row);
-    /// Keeps a worker for a step until release_kept(); does nothing when it is kept
-    /// already.
-    void keep(WorkerNumber number, const Step& step);
-    /// Ends the keeping of all workers.
-    void release_kept();
-    /// Returns how many workers are kept.
-    size_t kept_count() const { return m_kept.size(); }
+    /// Reserves a worker for a step until release_reservations(); has no effect if it is
+    /// already reserved.
+    void reserve_row(WorkerNumber number, const Step& step);
+    /// Ends all reservations.
+    void release_reservations();
+    /// Returns the number of reserved workers.
+    size_t reserved_count() const { return m_reserved.size(); }
 
     size_t size() const { return m_rows.size(); }
 
 private:
     std::vector<CapacityRow> m_rows; ///< By number.
-    std::vector<WorkerNumber> m_kept;
+    std::vector<WorkerNumber> m_reserved;
 };
 
-/// Returns how many tasks of `step`, `needed` at most, fit into `free`. Most workers of a
-/// busy cell have no room for a single one, which comparisons tell without a division.
-int tasks_that_fit_into(const StepSpec& step, const Resources& free, int needed,
-                        int at_most);
+/// Returns how many tasks of `step`, at most `needed`, fit into `free`. On a busy cell most
+/// workers have no capacity for even one task, which comparisons detect without a division.
+int tasks_that_fit_into(const StepSpec& step, const Resources& free, int needed, int limit);
 
 } // namespace pathport::jobs
--- a/src/jobs.lib/capacity_table_test.cpp
+++ b/src/jobs.lib/capacity_table_test.cpp
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// The table of what workers have to offer.
+/// The table of the workers' free capacity.
 
 #define BOOST_TEST_MODULE capacity_table
 #include <boost/test/unit_test.hpp>
@@ -34,7 +34,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(numbers_rise_and_a_dropped_row_stays_closed)
+BOOST_AUTO_TEST_CASE(numbers_increase_and_a_closed_row_stays_closed)
 {
     CapacityTable table;
     const WorkerNumber first = table.add();
@@ -47,28 +47,28 @@
     BOOST_TEST(!table.row(second).open);
 }
 
-BOOST_AUTO_TEST_CASE(a_kept_worker_is_free_for_its_step_only)
+BOOST_AUTO_TEST_CASE(reserved_worker_is_available_to_its_step_only)
 {
     CapacityTable table;
     const WorkerNumber worker = table.add();
     table.set(worker, open_row(16000));
     const Step gang;
     const Step other;
-    table.keep(worker, gang);
-    table.keep(worker, other);
+    table.reserve_row(worker, gang);
+    table.reserve_row(worker, other);
     BOOST_TEST(table.row(worker).available_to(gang));
     BOOST_TEST(!table.row(worker).available_to(other));
-    BOOST_TEST(table.kept_count() == 1U);
-    // What is placed or reported meanwhile does not end the keeping.
+    BOOST_TEST(table.reserved_count() == 1U);
+    // Placements and reports in between do not end the reservation.
     table.set(worker, open_row(9000));
     BOOST_TEST(!table.row(worker).available_to(other));
-    table.release_kept();
+    table.release_reservations();
     BOOST_TEST(table.row(worker).available_to(other));
-    BOOST_TEST(table.kept_count() == 0U);
+    BOOST_TEST(table.reserved_count() == 0U);
 }
 
-// The quick look and the exact one agree, for whatever is scarce.
-BOOST_AUTO_TEST_CASE(what_fits_is_what_the_placement_finds)
+// The fast check and the exact one agree, whichever resource is scarce.
+BOOST_AUTO_TEST_CASE(fast_and_exact_fit_agree)
 {
     for (const bool fills : { false, true }) {
         for (int64_t free_cpu = -2000; free_cpu <= 16000; free_cpu += 500) {
@@ -76,11 +76,11 @@
                 for (const int at_most : { 0, 1, 3, 100 }) {
                     StepSpec spec = step_of(2700);
                     spec.best_effort_cpu = fills;
-                    PlacementOption room;
-                    room.free = { free_cpu, free_memory, 0 };
-                    room.max_new_tasks = std::min(4, at_most);
-                    BOOST_TEST(tasks_that_fit_into(spec, room.free, 4, at_most)
-                               == tasks_that_fit(spec, room));
+                    PlacementOption option;
+                    option.free = { free_cpu, free_memory, 0 };
+                    option.max_new_tasks = std::min(4, at_most);
+                    BOOST_TEST(tasks_that_fit_into(spec, option.free, 4, at_most)
+                               == tasks_that_fit(spec, option));
                 }
             }
         }
--- a/src/jobs.lib/crash_record.cpp
+++ b/src/jobs.lib/crash_record.cpp
@@ -9,21 +9,21 @@
 
 namespace {
 
-/// What a lost run weighs. One that had lived for long, or beside a suspect, was probably
-/// not the cause.
-constexpr int fresh_weight = 2;
-constexpr int old_weight = 1;
+/// Weights of a lost run. A run that had existed for long, or ran beside a suspect, was
+/// probably not the cause.
+constexpr int startup_weight = 2;
+constexpr int later_weight = 1;
 constexpr int suspected_from = 2;
 constexpr int likely_from = 3;
-/// After so many workers a task is started only so often until it is cleared: more would
-/// take one worker after another.
-constexpr size_t workers_lost_at_most = 3;
-constexpr int most_tries = 2;
-/// Beyond the longest life that was cut short: how late a report may tell of a run.
+/// Once this many workers were lost with a task, its further starts are limited until it is
+/// cleared, since it would take down one worker after another.
+constexpr size_t max_workers_lost = 3;
+constexpr int max_tries = 2;
+/// Maximum delay of the report about a run, added to the longest run time before a loss.
 constexpr Millis clearing_margin { 600 };
-/// What is known of two lives that were as long differs by so much at most: reports come
+/// Known run times that were really equal differ by at most this much, since reports come
 /// twice a second.
-constexpr int64_t alike_within_ms = 600;
+constexpr int64_t similar_within_ms = 600;
 
 } // namespace
 
@@ -68,7 +68,7 @@
 
 void CrashRecord::note_start()
 {
-    m_tries += m_runs.size() >= workers_lost_at_most ? 1 : 0;
+    m_tries += m_runs.size() >= max_workers_lost ? 1 : 0;
 }
 
 void CrashRecord::withdraw_start()
@@ -78,16 +78,16 @@
 
 bool CrashRecord::tries_exhausted() const
 {
-    return m_runs.size() >= workers_lost_at_most && m_tries >= most_tries;
+    return m_runs.size() >= max_workers_lost && m_tries >= max_tries;
 }
 
 Suspicion CrashRecord::suspicion() const
 {
     int weight = 0;
     for (const CrashedRun& lost : m_runs) {
-        const bool blamed
+        const bool likely_cause
             = Millis(lost.runtime_ms) < startup_window && !lost.beside_suspect;
-        weight += blamed ? fresh_weight : old_weight;
+        weight += likely_cause ? startup_weight : later_weight;
     }
     if (weight >= likely_from)
         return Suspicion::likely;
@@ -100,7 +100,7 @@
         return left.runtime_ms < right.runtime_ms;
     };
     const auto [least, most] = std::minmax_element(m_runs.begin(), m_runs.end(), shorter);
-    return m_runs.empty() || most->runtime_ms - least->runtime_ms <= alike_within_ms;
+    return m_runs.empty() || most->runtime_ms - least->runtime_ms <= similar_within_ms;
 }
 
 Millis CrashRecord::longest_runtime() const
@@ -116,9 +116,9 @@
     return std::max(startup_window, longest_runtime()) + clearing_margin;
 }
 
-bool CrashRecord::cleared_by_end_after(Millis life) const
+bool CrashRecord::cleared_by_end_after(Millis runtime) const
 {
-    return life > longest_runtime() + clearing_margin;
+    return runtime > longest_runtime() + clearing_margin;
 }
 
 } // namespace pathport::jobs
--- a/src/jobs.lib/crash_record.h
+++ b/src/jobs.lib/crash_record.h
@@ -2,10 +2,9 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// What is held against a task because workers were lost while it ran there. A worker that
-/// crashes takes all that ran there with it and says nothing, so what it was can only be
-/// learned from how often and how soon after a start it happens, and by having a suspect
-/// start where nothing else does.
+/// Worker losses recorded against a task. A crashed worker takes all its runs with it and
+/// reports nothing, so the cause can only be inferred: from how often and how soon after a
+/// start the losses occur, and by starting a suspect where nothing else starts.
 
 #pragma once
 
@@ -17,11 +16,13 @@
 
 namespace pathport::jobs {
 
-/// A run of a task with which a worker was lost.
+/// A run of a task that was lost with its worker.
 struct CrashedRun {
     int64_t run = 0;
-    int64_t runtime_ms = 0; ///< The run is known to have been there for so long.
-    bool beside_suspect = false; ///< A suspect was there, so it says less of others.
+    int64_t runtime_ms = 0; ///< The run is known to have existed for this long.
+    /// A suspect ran on the same worker, so this loss is weaker evidence against other
+    /// tasks.
+    bool beside_suspect = false;
 
     bool operator==(const CrashedRun& other) const
     {
@@ -30,21 +31,21 @@
     }
 };
 
-/// A run that was lost sooner than this after its start may have crashed its worker by
-/// starting. Reports come twice a second, so a life is known to within half a second.
+/// A run lost sooner than this after its start may have crashed its worker by starting.
+/// Reports come twice a second, so run times are known to within half a second.
 constexpr Millis startup_window { 1500 };
-/// What is taken for the life of a run that an earlier leader started.
+/// Assumed run time of a run started by an earlier leader.
 constexpr Millis unknown_runtime = startup_window;
 
-/// How much speaks against a task.
+/// How strong the evidence against a task is.
 enum class Suspicion {
     none,
-    suspected, ///< It starts where no other suspect is.
+    suspected, ///< Starts only where no other suspect runs.
     likely, ///< Nothing else is started beside it until it is cleared.
 };
 const char* to_string(Suspicion suspicion);
 
-/// The record of one task.
+/// The losses recorded against one task.
 class CrashRecord {
 public:
     CrashRecord() = default;
@@ -58,35 +59,37 @@
     size_t size() const { return m_runs.size(); }
     const std::vector<CrashedRun>& runs() const { return m_runs; }
 
-    /// Adds a run; returns false if it is there already.
+    /// Adds a run; returns false if it is already recorded.
     bool add(const CrashedRun& lost);
-    /// Takes a run back: its worker was not lost. Returns whether it was there.
+    /// Removes a run whose worker turned out not to be lost. Returns whether it was
+    /// recorded.
     bool retract(int64_t run);
     void clear();
 
-    /// Notes a start, which counts once enough workers were lost.
+    /// Records a start, which counts once enough workers were lost.
     void note_start();
-    /// Notes that a start came to nothing at its worker.
+    /// Records that a start failed at its worker, so that it does not count.
     void note_failed_start() { withdraw_start(); }
-    /// Notes that the run of a start failed by itself and its worker lived on: a task that
-    /// crashes its workers does not end so, and failures are bounded by themselves.
+    /// Records that a run failed on its own and its worker survived, so that its start does
+    /// not count: a task that crashes its workers does not end this way, and failures have
+    /// a limit of their own.
     void note_harmless_failure() { withdraw_start(); }
-    /// Returns the starts that count.
+    /// Returns the number of starts that count.
     int tries() const { return m_tries; }
-    /// Returns whether the task is not to be started any more: enough workers were lost
-    /// with it, and it was tried since then as often as is right without being cleared.
+    /// Returns whether the task must not be started any more: enough workers were lost with
+    /// it, and it has used up the starts allowed since then without being cleared.
     bool tries_exhausted() const;
 
     Suspicion suspicion() const;
-    /// Returns whether all runs were lost about as long after their start, as those of a
-    /// task that crashes its workers are.
+    /// Returns whether all runs were lost about equally long after their starts, as is
+    /// typical of a task that crashes its workers.
     bool has_similar_runtimes() const;
-    /// Returns after which life a further run shows that the task does not crash its
-    /// workers: longer than any that went down with one.
+    /// Returns the run time after which a further run shows that the task does not crash
+    /// its workers: longer than that of any lost run.
     Millis clearing_runtime() const;
-    /// Returns whether a run that its worker listed as ended by itself after this life
-    /// shows it: it can't come to crash the worker any more.
-    bool cleared_by_end_after(Millis life) const;
+    /// Returns whether a run that its worker reported as ended on its own after this run
+    /// time clears the task: it cannot crash the worker any more.
+    bool cleared_by_end_after(Millis runtime) const;
 
     bool operator==(const CrashRecord& other) const
     {
--- a/src/jobs.lib/placement.h
+++ b/src/jobs.lib/placement.h
@@ -2,8 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// The choice of workers for the tasks of one step: a function of what is free, without
-/// input or output.
+/// Choice of workers for the tasks of one step, as a pure function of the free capacity.
 
 #pragma once
 
@@ -15,18 +14,20 @@
 
 namespace pathport::jobs {
 
-/// What one worker that may run the step has to offer.
+/// A worker that may run tasks of the step, with its free capacity.
 struct PlacementOption {
-    std::string_view worker; ///< Views of names that outlive the choice.
+    std::string_view worker; ///< Views of names that outlive the placement decision.
     std::string_view rack;
     Resources free;
-    bool second_choice = false; ///< Tasks of the step came to nothing there lately.
-    bool slow = false; ///< To be used only when others don't suffice.
-    int step_tasks = 0; ///< Tasks of this step that it holds already.
-    int max_new_tasks = max_tasks_per_step; ///< Tasks that may be added for other reasons.
+    /// Tasks of the step failed or could not be started there recently.
+    bool second_choice = false;
+    bool slow = false; ///< Used only when the others do not suffice.
+    int step_tasks = 0; ///< Tasks of this step already placed there.
+    /// Limit on further tasks for reasons other than capacity.
+    int max_new_tasks = max_tasks_per_step;
 };
 
-/// A number of tasks for one worker.
+/// The number of tasks assigned to one worker.
 struct Assignment {
     std::string worker;
     int count = 0;
@@ -38,12 +39,13 @@
 };
 
 /// Returns how many tasks of `step` a worker can take.
-int tasks_that_fit(const StepSpec& step, const PlacementOption& room);
-
-/// Chooses workers for up to `count` tasks: second choices last, near the data first, then
-/// the tightest fit, so that large holes stay. For a gang (`whole`) it returns shares for
-/// all or nothing, in one rack where one has room and the step asks for it.
-std::vector<Assignment> choose_workers(const StepSpec& step, int count, bool whole,
-                                       std::vector<PlacementOption> rooms);
+int tasks_that_fit(const StepSpec& step, const PlacementOption& option);
+
+/// Chooses workers for up to `count` tasks: second choices last, then near the data first,
+/// then the tightest fit, which preserves large free blocks. With `all_or_nothing`, as for
+/// a gang, returns assignments for all tasks or none. If the step asks for one rack, a
+/// single rack is used where one has enough capacity.
+std::vector<Assignment> choose_workers(const StepSpec& step, int count, bool all_or_nothing,
+                                       std::vector<PlacementOption> options);
 
 } // namespace pathport::jobs
--- a/src/jobs.lib/queue_admission.h
+++ b/src/jobs.lib/queue_admission.h
@@ -2,8 +2,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Which queues take no further jobs because the advice that there is can't decide about
-/// them in time.
+/// Decides which queues accept no further jobs because the advisor cannot answer their
+/// queries in time.
 
 #pragma once
 
@@ -16,36 +16,37 @@
 
 namespace pathport::jobs {
 
-/// What waits for advice in one queue.
+/// The demand for advice in one queue.
 struct AdviceDemand {
     std::string queue;
-    int priority = 0; ///< 0 goes first; the others share by it.
-    int steps = 0; ///< Of which nothing is placed and no question was answered.
-    Millis oldest; ///< How long the first of them has waited.
-    double query_ms = 0; ///< What the advisor takes for a usual question.
-
-    /// Adds a step that has waited for so long. A late one goes behind all that can be in
-    /// time, so it tells nothing of how long a new one would wait.
+    int priority = 0; ///< 0 goes first; the others share the advisor by priority.
+    int steps = 0; ///< Steps with nothing placed and no query answered.
+    Millis oldest; ///< How long the oldest of them has waited.
+    double query_ms = 0; ///< Advisor time for a typical query.
+
+    /// Adds a step that has waited for this long. A late step goes behind all that can
+    /// still meet their deadlines, so its wait says nothing about that of a new one and it
+    /// is ignored.
     void add_step(Millis waited, bool late);
 };
 
-/// Closes a queue when what it has accepted would wait too long, and opens it again when
-/// the backlog has gone. Less urgent queues close first, since the more urgent ones have
-/// the larger share of the advice.
+/// Closes a queue when its accepted steps would wait too long, and opens it again when the
+/// backlog is gone. Less urgent queues close first, since more urgent ones get a larger
+/// share of the advisor.
 class QueueAdmission {
 public:
-    /// Takes what waits in all queues, and how many questions the advisor works on at a
-    /// time, less what the most urgent queues take of that.
+    /// Updates the closed queues from the demand of all queues and the number of queries
+    /// that the advisor processes at a time, less those of the most urgent queues.
     void update(const std::vector<AdviceDemand>& demands, double callers);
 
-    /// Returns the queues that are closed.
+    /// Returns the closed queues.
     const std::vector<ClosedQueue>& closed() const { return m_closed; }
-    /// Returns how long a step that comes now to the queue is thought to wait.
+    /// Returns the estimated wait of a step that enters the queue now.
     Millis estimated_wait(const std::string& queue) const;
 
 private:
     std::vector<ClosedQueue> m_closed;
-    std::map<std::string, Millis> m_waits; ///< By queue, those with demand only.
+    std::map<std::string, Millis> m_waits; ///< By queue, only those with demand.
 };
 
 } // namespace pathport::jobs
--- a/src/jobs.lib/retry_delay.cpp
+++ b/src/jobs.lib/retry_delay.cpp
@@ -13,13 +13,13 @@
 namespace {
 
 constexpr int64_t second_ms = 1000;
-/// Nobody is sent away for longer: an outage that has lasted long may end at any time.
-constexpr int64_t longest_pause_ms = 4000;
-/// Callers have a few tries. Spread over the job's slack they reach beyond an outage of
-/// that length, and the last of them is in time.
+/// Upper bound for all delays, since even a long outage may end at any time.
+constexpr int64_t max_delay_ms = 4000;
+/// Callers have a few tries. Spread over the job's slack, these outlast an outage of that
+/// length, and the last one is still in time.
 constexpr int64_t tries_in_slack = 4;
-/// In an outage that lasts, so much of the slack may pass until the next try.
-constexpr int64_t least_tries_in_slack = 2;
+/// In a long outage this fraction of the slack may pass until the next try.
+constexpr int64_t min_tries_in_slack = 2;
 
 } // namespace
 
@@ -43,14 +43,13 @@
     const int64_t chain = longest_chain_ms(spec);
     const int64_t slack
         = static_cast<int64_t>(queue.stretch * double(chain)) + queue.slo_ms - chain;
-    const int64_t least = std::clamp(slack / tries_in_slack, second_ms, longest_pause_ms);
-    const int64_t most
-        = std::clamp(slack / least_tries_in_slack, second_ms, longest_pause_ms);
-    const int64_t pause = std::clamp(outage.count(), least, most);
-    // The header holds whole seconds: the rest of one sends that share of the callers away
-    // for a second more.
+    const int64_t least = std::clamp(slack / tries_in_slack, second_ms, max_delay_ms);
+    const int64_t most = std::clamp(slack / min_tries_in_slack, second_ms, max_delay_ms);
+    const int64_t delay = std::clamp(outage.count(), least, most);
+    // The header holds whole seconds. The remainder becomes the share of callers that wait
+    // a second longer.
     const auto spread = static_cast<int64_t>(stable_hash(id) % second_ms);
-    return Millis((pause + spread) / second_ms * second_ms);
+    return Millis((delay + spread) / second_ms * second_ms);
 }
 
 } // namespace pathport::jobs
--- a/src/jobs.lib/retry_delay.h
+++ b/src/jobs.lib/retry_delay.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// When a caller whose job was not taken should come back.
+/// Retry delays for callers whose jobs were not accepted.
 
 #pragma once
 
@@ -12,11 +12,12 @@
 
 namespace pathport::jobs {
 
-/// Returns the pause, in whole seconds, for a job that was refused while the store has been
-/// away for `outage`. The longer that lasts, the longer it is likely to last on, so callers
-/// come back after as long again, and reach beyond an outage with few tries. A job that
-/// could not be done in its time then is asked for sooner: the most urgent come back first,
-/// and the others at times spread by their ids.
+/// Returns the delay, in whole seconds, for a job refused while the store has been
+/// unavailable for `outage`. The longer an outage has lasted, the longer it is likely to
+/// continue, so the delay equals its duration so far and few tries outlast it. The delay is
+/// shorter where the job could not meet its deadline otherwise: the most urgent jobs return
+/// first, and the others are spread by their ids where the delay is not a whole number of
+/// seconds.
 Millis retry_delay(const Queue& queue, const JobSpec& spec, const std::string& id,
                    Millis outage);
 
--- a/src/jobs.lib/retry_delay_test.cpp
+++ b/src/jobs.lib/retry_delay_test.cpp
@@ -2,10 +2,10 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// An outage of the store in the midst of mixed work: quotes of a second, closings of some
-/// seconds, checks that may take longer. Clients try five times in all; with the same pause
-/// of a second for all of them, each that came in the first second of an outage of five was
-/// lost.
+/// Retries of mixed work during a store outage: quotes that take a second, closings of some
+/// seconds, and checks that may take longer. Clients try five times. Guards against a fixed
+/// delay of one second, with which every job sent in the first second of a five-second
+/// outage was lost.
 
 #define BOOST_TEST_MODULE retry_delay
 #include <boost/test/unit_test.hpp>
@@ -39,10 +39,10 @@
 const Queue closings = queue_of(2.2, 1000);
 const Queue checks = queue_of(4, 3000);
 
-/// Returns when a job that comes `sent` after the start of an outage is taken, in ms after
-/// that start; nothing when its client gives up before.
-std::optional<int64_t> taken_at(const Queue& queue, const JobSpec& spec, int64_t sent,
-                                int64_t outage, const std::string& id)
+/// Returns when a job sent `sent` ms after the start of an outage is accepted, in ms after
+/// that start, or nothing if its client gives up first.
+std::optional<int64_t> accepted_at(const Queue& queue, const JobSpec& spec, int64_t sent,
+                                   int64_t outage, const std::string& id)
 {
     int64_t now = sent;
     for (int i = 0; i < tries; ++i) {
@@ -55,22 +55,23 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(what_can_wait_outlasts_an_outage_in_time)
+BOOST_AUTO_TEST_CASE(non_urgent_jobs_outlast_an_outage_in_time)
 {
     for (const int64_t outage : { 2000, 4200, 5700 }) {
         for (int64_t sent = 0; sent < outage; sent += 100) {
             for (int i = 0; i < 20; ++i) {
                 const std::string id = "job" + std::to_string(i);
-                const auto check = taken_at(checks, job_of(3400), sent, outage, id);
+                const auto check = accepted_at(checks, job_of(3400), sent, outage, id);
                 BOOST_TEST_REQUIRE(check.has_value());
                 BOOST_TEST(*check - sent < 3 * 3400 + 3000);
-                BOOST_TEST(taken_at(closings, job_of(4000), sent, outage, id).has_value());
+                BOOST_TEST(
+                    accepted_at(closings, job_of(4000), sent, outage, id).has_value());
             }
         }
     }
 }
 
-BOOST_AUTO_TEST_CASE(what_is_urgent_comes_back_first)
+BOOST_AUTO_TEST_CASE(urgent_jobs_return_first)
 {
     for (int i = 0; i < 20; ++i) {
         const std::string id = "job" + std::to_string(i);
@@ -86,21 +87,21 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(callers_of_one_moment_come_back_spread)
+BOOST_AUTO_TEST_CASE(simultaneous_callers_return_spread_out)
 {
     int sooner = 0;
     constexpr int callers = 200;
     for (int i = 0; i < callers; ++i) {
-        const Millis pause
+        const Millis delay
             = retry_delay(checks, job_of(3400), "job" + std::to_string(i), Millis(3500));
-        BOOST_TEST((pause == Millis(3000) || pause == Millis(4000)));
-        sooner += pause == Millis(3000) ? 1 : 0;
+        BOOST_TEST((delay == Millis(3000) || delay == Millis(4000)));
+        sooner += delay == Millis(3000) ? 1 : 0;
     }
     BOOST_TEST(sooner > callers / 4);
     BOOST_TEST(sooner < callers * 3 / 4);
 }
 
-BOOST_AUTO_TEST_CASE(a_job_of_any_form_has_a_pause)
+BOOST_AUTO_TEST_CASE(any_job_has_a_delay)
 {
     JobSpec chain = job_of(1000);
     chain.steps.emplace_back();
--- a/src/jobs.lib/scarce_advice_test.cpp
+++ b/src/jobs.lib/scarce_advice_test.cpp
@@ -2,13 +2,13 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Whole cells that most nodes leave for good, in order, while jobs go on to come.
+/// Whole cells that most nodes leave for good, one after another, while jobs keep arriving.
 ///
-/// Seen on users' days: the advisor serves one question at a time for each node that calls
-/// it, so its rate falls with the nodes. Steps that were late already went behind those
-/// that could still be in time, for ever: jobs that had been accepted were asked about for
-/// 20 s and more never again, while later ones ran and most of the workers' room was free.
-/// And nodes went on to accept more than the advice that was left could decide about.
+/// The advisor serves one query at a time per calling node, so its rate falls with the
+/// number of nodes. Guards against two failures: late steps that are ordered behind all
+/// steps which can still meet their deadlines, so that accepted jobs had no query for 20 s
+/// and more while later ones ran and most of the capacity was free; and nodes that accept
+/// more jobs than the remaining advice can decide about.
 
 #define BOOST_TEST_MODULE scarce_advice
 #include <boost/test/unit_test.hpp>
@@ -24,7 +24,7 @@
 constexpr int workers = 16;
 constexpr int64_t slow_ms = 450;
 constexpr int64_t medium_ms = 40;
-constexpr Millis for_good { 1000000000 };
+constexpr Millis forever { 1000000000 };
 
 jobs::Queue queue_of(const std::string& name, int priority, int64_t decision_ms)
 {
@@ -52,8 +52,8 @@
     return facts;
 }
 
-/// Three queues in the proportions of the users' kiosks: quick questions that come often,
-/// and slow ones for gangs. Six nodes have advice for more than twice the load.
+/// Three queues in the proportions of the users' kiosks: frequent fast queries, and slow
+/// ones for gangs. Six nodes have advice for more than twice the load.
 class LoadedCell {
 public:
     explicit LoadedCell(uint64_t seed)
@@ -72,7 +72,7 @@
         cell.world.run_for(Millis(3000));
     }
 
-    /// Jobs come for so long.
+    /// Submits jobs for this long.
     void load(Millis span)
     {
         for (int64_t tenth = 0; tenth < span.count() / 100; ++tenth) {
@@ -89,13 +89,13 @@
         }
     }
 
-    /// All but `left` nodes leave, one after another.
+    /// Stops all but `left` nodes, one after another.
     void remove_nodes(int left)
     {
         for (const std::string& node : cell.node_names()) {
             if (--m_present < left)
                 break;
-            cell.stop(node, for_good);
+            cell.stop(node, forever);
             cell.note_disturbance(Millis(5500));
             load(Millis(700));
         }
@@ -126,7 +126,7 @@
 
 BOOST_TEST_GLOBAL_FIXTURE(LogFixture);
 
-BOOST_AUTO_TEST_CASE(accepted_jobs_are_asked_about_when_few_nodes_are_left)
+BOOST_AUTO_TEST_CASE(accepted_jobs_get_advice_when_few_nodes_are_left)
 {
     for (const int left : { 2, 1 }) {
         for (uint64_t seed = 1; seed <= 2; ++seed) {
@@ -134,13 +134,13 @@
             loaded.load(Millis(3000));
             loaded.remove_nodes(left);
             loaded.load(Millis(20000));
-            const size_t standing = loaded.cell.liveness_violations().size();
+            const size_t stalled = loaded.cell.liveness_violations().size();
             loaded.cell.world.run_for(Millis(16000));
-            const auto wrong = loaded.cell.final_violations();
-            BOOST_TEST(wrong.empty(),
+            const auto violations = loaded.cell.final_violations();
+            BOOST_TEST(violations.empty(),
                        left << " nodes left, seed " << seed << ", " << loaded.accepted()
-                            << " accepted, " << standing << " stood while jobs came"
-                            << join_lines(wrong));
+                            << " accepted, " << stalled << " stalled while jobs arrived"
+                            << join_lines(violations));
         }
     }
 }
--- a/src/jobs.lib/scheduler.cpp
+++ b/src/jobs.lib/scheduler.cpp
@@ -10,7 +10,7 @@
 namespace pathport::jobs {
 
 namespace {
-/// The store's clock is known from answers, which a slow store gives late by so much.
+/// The store's clock is known only from answers, which a slow store may delay by this much.
 constexpr Millis store_clock_error { 2500 };
 } // namespace
 
@@ -45,7 +45,7 @@
 
 Scheduler::~Scheduler() = default;
 
-// Returns the store's time at a time of this process.
+// Converts a time of this process to the store's clock.
 int64_t Scheduler::store_time_at(Millis time) const
 {
     return m_context.store_clock_ms() + (time - m_context.loop.now()).count();
@@ -61,15 +61,15 @@
 
 void Scheduler::call_timed_out()
 {
-    m_answer_missed_at = m_context.loop.now();
+    m_last_call_timeout = m_context.loop.now();
     ++m_load_counts.answers_missing;
 }
 
 bool Scheduler::has_recent_timeouts() const
 {
-    // Some thousand calls are made in this time, so even rare losses keep it up.
+    // About a thousand calls are made in this time, so even rare losses keep this true.
     constexpr Millis memory { 3000 };
-    return m_answer_missed_at && m_context.loop.now() - *m_answer_missed_at < memory;
+    return m_last_call_timeout && m_context.loop.now() - *m_last_call_timeout < memory;
 }
 
 void Scheduler::depose()
@@ -77,7 +77,7 @@
     if (m_phase == Phase::terminated)
         return;
     m_phase = Phase::terminated;
-    // The owner destroys this scheduler, which must not happen inside a callback of it.
+    // The owner destroys this scheduler, which must not happen within one of its callbacks.
     m_context.loop.after(Millis(0), m_deposed);
 }
 
@@ -110,7 +110,7 @@
     const JobRecord* record = find_job(job);
     if (record != nullptr)
         return record->encode_progress();
-    // The job closed after this write was asked for.
+    // The job was closed after this write was requested.
     const auto closed = m_closed.find(job);
     return closed == m_closed.end()
         ? std::string()
@@ -184,22 +184,22 @@
     return count;
 }
 
-// `job` is that of the task, nothing if it isn't open.
+// `job` is the task's job, or null if it is not open.
 void Scheduler::occupy(Worker& worker, const TaskId& task, int64_t run,
                        const StepSpec& spec, const JobRecord* job)
 {
     if (worker.load.holds(task))
         return;
-    Allocation occupant;
-    occupant.run = run;
-    occupant.need = spec.need;
+    Allocation allocation;
+    allocation.run = run;
+    allocation.need = spec.need;
     if (spec.best_effort_cpu)
-        occupant.need.cpu_millis = 0;
-    occupant.priority = job == nullptr ? 0 : job->rank();
-    occupant.workspace = job == nullptr ? workspace_number_of(task) : job->workspace;
-    occupant.charged = spec.need;
-    worker.load.add(task, occupant);
-    m_usage.charge(occupant.workspace, occupant.charged);
+        allocation.need.cpu_millis = 0;
+    allocation.priority = job == nullptr ? 0 : job->rank();
+    allocation.workspace = job == nullptr ? workspace_number_of(task) : job->workspace;
+    allocation.charged = spec.need;
+    worker.load.add(task, allocation);
+    m_usage.charge(allocation.workspace, allocation.charged);
     worker.session->set_busy(true);
     refresh_row(worker);
 }
--- a/src/jobs.lib/scheduler_admission.cpp
+++ b/src/jobs.lib/scheduler_admission.cpp
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Which queues take no further jobs: what waits for advice, and the advice that there is.
+/// Closes queues to further jobs when the advisor cannot answer their queries in time.
 
 #include "scheduler.h"
 
@@ -14,13 +14,14 @@
 
 namespace {
 
-/// A new leader knows only after this time which nodes can ask the advisor: they have found
-/// it out and sent a heartbeat by then.
-constexpr Millis callers_known_after { 1000 };
-/// With less of the room free than this share, steps wait for room rather than for advice.
-constexpr double short_share = 0.25;
-/// Workers that a question is thought to name while none of its queue was put.
-constexpr int usual_named = 10;
+/// Time after which a new leader knows which nodes can reach the advisor: by then they have
+/// found out and sent a heartbeat.
+constexpr Millis caller_discovery_time { 1000 };
+/// With a smaller share of the capacity free than this, steps wait for capacity rather than
+/// for advice.
+constexpr double min_free_share = 0.25;
+/// Assumed number of workers in a query while the queue has sent none.
+constexpr int typical_query_size = 10;
 
 bool is_closed(const std::vector<ClosedQueue>& closed, const std::string& queue)
 {
@@ -57,9 +58,9 @@
                 const bool idle = step.idle_since > Millis(0);
                 demand.add_step(idle ? now - step.idle_since : Millis(0), late);
                 const auto asked = m_query_ms.find(queue.name);
-                demand.query_ms = asked != m_query_ms.end()
-                    ? asked->second
-                    : queue.advice->decision_ms + queue.advice->per_worker_ms * usual_named;
+                demand.query_ms = asked != m_query_ms.end() ? asked->second
+                                                            : queue.advice->decision_ms
+                        + queue.advice->per_worker_ms * typical_query_size;
             }
         }
     }
@@ -71,14 +72,14 @@
 
 void Scheduler::update_admission()
 {
-    if (m_context.loop.now() - m_claim.known < callers_known_after)
+    if (m_context.loop.now() - m_claim.known < caller_discovery_time)
         return;
     const std::vector<ClosedQueue> before = m_admission.closed();
-    // Where room is short, steps that were asked about nobody wait for room.
+    // When capacity is short, steps without any query wait for capacity.
     const std::vector<AdviceDemand> demands
-        = free_share() > short_share ? advice_demands() : std::vector<AdviceDemand>();
+        = free_share() > min_free_share ? advice_demands() : std::vector<AdviceDemand>();
     m_admission.update(demands, m_context.advice.spare_callers());
-    for (const auto& [queue, question_ms] : m_query_ms)
+    for (const auto& [queue, smoothed_ms] : m_query_ms)
         m_context.metrics.set("pathport_advice_wait_seconds",
                               double(m_admission.estimated_wait(queue).count()) / 1000,
                               { { "queue", queue } });
--- a/src/jobs.lib/scheduler_advice.cpp
+++ b/src/jobs.lib/scheduler_advice.cpp
@@ -2,9 +2,10 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Advice: which workers a step may use is asked for when it helps to place tasks, since
-/// calls are dear and tickets run out. An allowance stays; only its ticket ages. A refusal
-/// is asked about again when a step finds no room without.
+/// Advisor queries: which workers a step may use. A query is sent only when it helps to
+/// place tasks, since queries are expensive and tickets expire. A worker that was allowed
+/// stays allowed; only its ticket expires. Refused workers are asked about again when a
+/// step finds no capacity without them.
 
 #include "scheduler.h"
 
@@ -16,106 +17,106 @@
 
 namespace {
 
-/// A ticket is not used in the last part of its life.
+/// A ticket is not used in the last part of its validity.
 constexpr Millis ticket_margin { 250 };
-/// Pause after a question that got no answer.
-constexpr Millis advice_retry { 150 };
-/// Pause after an answer that brought no verdict that wasn't known.
-constexpr Millis fruitless_pause { 120 };
-/// The pause doubles with each such answer in a row, so often at most (to about 2 s): steps
-/// that ask in vain leave the advisor to the others.
-constexpr int most_doublings = 4;
-/// A worker that was refused may be asked about again after this time, and after twice as
-/// long with each further refusal: the advisor's verdict stands, but it may not have known
-/// a worker for a moment. The platform's tickets, of 2 s, have run out twice since.
-constexpr Millis refusal_age { 5000 };
-/// The time doubles so often at most (to 80 s).
-constexpr int most_refusal_doublings = 4;
-/// A gang keeps its workers for so long after the tickets for them have come, beyond the
-/// time that the tasks there take to stop.
-constexpr Millis kept_after_answer { 100 };
-/// Pause after a look at the workers that found none worth a question.
-constexpr Millis nobody_pause { 30 };
-/// A question is only made up when it can be sent soon: what it asks about, the room of the
-/// moment, is stale otherwise, and the most urgent step of that moment should be the one
-/// that asks. So many of each queue wait, so that no caller idles.
-constexpr size_t most_waiting_of_queue = 2;
-/// Workers named in one question. A gang needs room on many at once, and the time that it
-/// may take allows for a question about thirty. What is not urgent asks about so many that
-/// they add half to the time of the decision: verdicts stay, and a second question takes
-/// that time again.
-constexpr int least_asked = 10;
-constexpr int least_asked_for_gang = 30;
-constexpr double named_per_decision = 0.5;
-constexpr int most_asked = 100;
-/// Asked for beyond what is needed on average, since the advisor's choice varies.
-constexpr double asked_reserve = 1.5;
-constexpr double first_allowed_share = 0.5;
-constexpr double share_learning = 0.1;
-constexpr double cost_learning = 0.1;
+/// Delay after a query without an answer.
+constexpr Millis no_answer_delay { 150 };
+/// Delay after an answer without any new verdict.
+constexpr Millis no_news_delay { 120 };
+/// The delay doubles with each further such answer, at most this many times (up to about 2
+/// s), so that steps with futile queries leave the advisor to the others.
+constexpr int max_delay_doublings = 4;
+/// A refused worker may be asked about again after this time, which doubles with each
+/// further refusal: verdicts are lasting, but the advisor may have been unaware of a worker
+/// for a moment. The platform's tickets, valid for 2 s, have expired twice by then.
+constexpr Millis refusal_retry_delay { 5000 };
+/// The time doubles at most this many times (up to 80 s).
+constexpr int max_refusal_doublings = 4;
+/// After its tickets have arrived, a gang keeps its workers reserved for this long, beyond
+/// the time that the tasks there take to stop.
+constexpr Millis reservation_after_answer { 100 };
+/// Delay after finding no worker worth a query.
+constexpr Millis no_candidate_delay { 30 };
+/// A query is only composed when it can be sent soon: otherwise the free capacity it is
+/// based on is outdated, and the step that is most urgent at that moment should be the one
+/// to ask. This many queries of each queue may wait, so that no caller idles.
+constexpr size_t max_waiting_per_queue = 2;
+/// Number of workers in one query. A gang needs capacity on many workers at once, and its
+/// start deadline allows for a query about thirty. Non-urgent steps ask about so many that
+/// these add half of the decision time: verdicts are lasting, and a second query would take
+/// the decision time again.
+constexpr int min_asked = 10;
+constexpr int min_asked_for_gang = 30;
+constexpr double worker_share_of_decision = 0.5;
+constexpr int max_asked = 100;
+/// Factor on the capacity needed on average, since the advisor's choice varies.
+constexpr double capacity_factor = 1.5;
+constexpr double initial_allowed_share = 0.5;
+constexpr double share_learning_rate = 0.1;
+constexpr double cost_learning_rate = 0.1;
 
 } // namespace
 
-// Whatever speaks against a worker, it comes before those that have no room at present.
+// Every worker with free capacity, whatever its drawbacks, comes before those without any.
 bool Scheduler::is_better_candidate(const WorkerCandidate& left,
                                     const WorkerCandidate& right)
 {
-    const auto key = [](const WorkerCandidate& prospect) {
-        return std::make_tuple(prospect.fit == 0, prospect.second_choice, prospect.slow,
-                               -prospect.fit, -prospect.potential_fit,
-                               prospect.worker->number);
+    const auto key = [](const WorkerCandidate& candidate) {
+        return std::make_tuple(candidate.fit == 0, candidate.second_choice, candidate.slow,
+                               -candidate.fit, -candidate.potential_fit,
+                               candidate.worker->number);
     };
     return key(left) < key(right);
 }
 
 std::vector<WorkerNumber>
-Scheduler::worker_numbers(const std::vector<WorkerCandidate>& prospects)
+Scheduler::worker_numbers(const std::vector<WorkerCandidate>& candidates)
 {
     std::vector<WorkerNumber> workers;
-    for (const WorkerCandidate& prospect : prospects) {
-        if (workers.size() >= size_t(most_asked))
+    for (const WorkerCandidate& candidate : candidates) {
+        if (workers.size() >= size_t(max_asked))
             break;
-        workers.push_back(prospect.worker->number);
+        workers.push_back(candidate.worker->number);
     }
     return workers;
 }
 
-// Puts the best ones in order, as many as one question may name. Of a thousand workers a
-// question names a hundred at most, so the others stay as they are.
-void Scheduler::sort_top(std::vector<WorkerCandidate>& prospects)
+// Sorts only the best workers, as many as one query may name: of a thousand workers a query
+// names at most a hundred, so the rest stay unsorted.
+void Scheduler::sort_top(std::vector<WorkerCandidate>& candidates)
 {
     const auto best
-        = static_cast<std::ptrdiff_t>(std::min(prospects.size(), size_t(most_asked)));
-    std::partial_sort(prospects.begin(), prospects.begin() + best, prospects.end(),
+        = static_cast<std::ptrdiff_t>(std::min(candidates.size(), size_t(max_asked)));
+    std::partial_sort(candidates.begin(), candidates.begin() + best, candidates.end(),
                       is_better_candidate);
 }
 
-bool Scheduler::any_fit(const std::vector<WorkerCandidate>& prospects)
+bool Scheduler::any_fit(const std::vector<WorkerCandidate>& candidates)
 {
-    return std::any_of(prospects.begin(), prospects.end(),
-                       [](const WorkerCandidate& prospect) { return prospect.fit > 0; });
+    return std::any_of(candidates.begin(), candidates.end(),
+                       [](const WorkerCandidate& candidate) { return candidate.fit > 0; });
 }
 
-// Adds a worker to those of its kind; `known` is its verdict, if it has one.
-void Scheduler::classify(WorkerCandidates& found, WorkerCandidate prospect,
+// Adds a worker to the list for its verdict; `known` is null if there is no verdict.
+void Scheduler::classify(WorkerCandidates& found, WorkerCandidate candidate,
                          const Permission* known, Millis now)
 {
     if (known == nullptr) {
-        found.unasked.push_back(prospect);
+        found.unasked.push_back(candidate);
     } else if (known->allowed) {
-        prospect.second_choice = prospect.second_choice || known->no_ticket;
-        found.preferred_fit += prospect.second_choice ? 0 : prospect.fit;
-        found.fit += prospect.fit;
-        found.potential_fit += prospect.potential_fit;
-        found.allowed.push_back(prospect);
+        candidate.second_choice = candidate.second_choice || known->no_ticket;
+        found.preferred_fit += candidate.second_choice ? 0 : candidate.fit;
+        found.fit += candidate.fit;
+        found.potential_fit += candidate.potential_fit;
+        found.allowed.push_back(candidate);
     } else if (now >= known->ask_again_at) {
-        found.refused_fit += prospect.fit;
-        found.refused.push_back(prospect);
+        found.refused_fit += candidate.fit;
+        found.refused.push_back(candidate);
     }
 }
 
-// Returns the workers that the step could use by what is known, and how many of its tasks
-// each would hold.
+// Returns the workers that the step could use as far as is known, and how many of its tasks
+// each could hold.
 Scheduler::WorkerCandidates Scheduler::worker_candidates(const JobRecord& job,
                                                          const Step& step, int needed)
 {
@@ -124,9 +125,9 @@
     const int priority = job.rank();
     const int service = service_number(job.accepted().queue.service);
     const bool advised = job.accepted().queue.advice.has_value();
-    // A verdict outlasts the room of the moment: what isn't urgent asks about full workers
-    // as well.
-    const bool seeks_verdicts = advised && (spec.gang || priority > 0);
+    // A verdict remains valid when the free capacity changes, so steps that are not urgent
+    // ask about full workers as well.
+    const bool wants_verdicts = advised && (spec.gang || priority > 0);
     Permission without_advice;
     without_advice.allowed = true;
     const std::vector<WorkerNumber> second = second_choices(step);
@@ -139,15 +140,15 @@
         Worker& worker = *m_workers_by_number[number];
         if (!spec.label.empty() && !worker.session->info().has_label(spec.label))
             continue;
-        WorkerCandidate prospect;
-        prospect.worker = &worker;
+        WorkerCandidate candidate;
+        candidate.worker = &worker;
         if (row.available_to(step)) {
             int most = std::min(needed, row.max_new_tasks);
             if (spec.max_per_worker > 0)
                 most = std::min(most, spec.max_per_worker - worker.load.count_of_step(key));
-            prospect.fit = tasks_that_fit_into(spec, row.free, needed, most);
-            const Resources later = row.free + worker.load.used_below(priority);
-            prospect.potential_fit = tasks_that_fit_into(spec, later, needed, most);
+            candidate.fit = tasks_that_fit_into(spec, row.free, needed, most);
+            const Resources after_ends = row.free + worker.load.used_below(priority);
+            candidate.potential_fit = tasks_that_fit_into(spec, after_ends, needed, most);
         }
         const Permission* permission = &without_advice;
         if (advised) {
@@ -156,13 +157,13 @@
             const bool asked = known != step.advice.workers.end() && known->first == number;
             permission = asked ? &known->second : nullptr;
         }
-        const bool worth_a_verdict
-            = permission == nullptr && seeks_verdicts && spec.need.fits_in(row.capacity);
-        if (prospect.potential_fit == 0 && !worth_a_verdict)
+        const bool needs_verdict
+            = permission == nullptr && wants_verdicts && spec.need.fits_in(row.capacity);
+        if (candidate.potential_fit == 0 && !needs_verdict)
             continue;
-        prospect.second_choice = std::binary_search(second.begin(), second.end(), number);
-        prospect.slow = row.slow && priority == 0;
-        classify(found, prospect, permission, m_pass_begun);
+        candidate.second_choice = std::binary_search(second.begin(), second.end(), number);
+        candidate.slow = row.slow && priority == 0;
+        classify(found, candidate, permission, m_pass_begun);
     }
     std::sort(found.allowed.begin(), found.allowed.end(), is_better_candidate);
     sort_top(found.unasked);
@@ -174,50 +175,52 @@
 {
     const Queue& queue = job.accepted().queue;
     if (step.spec->gang)
-        return least_asked_for_gang;
+        return min_asked_for_gang;
     if (queue.priority == 0 || queue.advice->per_worker_ms <= 0)
-        return least_asked;
-    const double named
-        = named_per_decision * queue.advice->decision_ms / queue.advice->per_worker_ms;
-    return std::clamp(static_cast<int>(named), least_asked, most_asked);
+        return min_asked;
+    const double named = worker_share_of_decision * queue.advice->decision_ms
+        / queue.advice->per_worker_ms;
+    return std::clamp(static_cast<int>(named), min_asked, max_asked);
 }
 
-// Asks about workers whose verdict isn't known, or may have changed, so many that those
-// allowed should suffice. Room that comes when less urgent tasks end counts half.
+// Asks about workers whose verdict is unknown or may have changed, so many that those
+// allowed should suffice. Capacity that becomes free when lower-priority tasks end counts
+// half.
 void Scheduler::ask_about(const JobRecord& job, Step& step, int needed,
                           const WorkerCandidates& found,
                           const std::vector<WorkerCandidate>& unknown)
 {
     const double share
-        = m_allowed_share.try_emplace(job.accepted().queue.name, first_allowed_share)
+        = m_allowed_share.try_emplace(job.accepted().queue.name, initial_allowed_share)
               .first->second;
     double expected = 0.5 * (found.fit + found.potential_fit);
     const int least = min_workers_to_ask(job, step);
     std::vector<WorkerCandidate> chosen;
-    for (const WorkerCandidate& prospect : unknown) {
-        const bool enough = expected >= asked_reserve * needed;
+    for (const WorkerCandidate& candidate : unknown) {
+        const bool enough = expected >= capacity_factor * needed;
         if (enough && chosen.size() >= size_t(least))
             break;
-        expected += share * 0.5 * (prospect.fit + prospect.potential_fit);
-        chosen.push_back(prospect);
+        expected += share * 0.5 * (candidate.fit + candidate.potential_fit);
+        chosen.push_back(candidate);
     }
     ask(job, step, worker_numbers(chosen));
 }
 
-// Tasks that need not start together: asks again about workers that are known to be allowed
-// if they have room for some, else about further ones, and at last about refused ones.
+// For tasks that need not start together: asks again about allowed workers if they have
+// capacity for some of the tasks, otherwise about further workers, and finally about
+// refused ones.
 void Scheduler::ask_for_independent(const JobRecord& job, Step& step, int needed)
 {
     if (step.advice.asking || m_pass_begun < step.advice.retry_at || advice_queue_full(job))
         return;
     WorkerCandidates found = worker_candidates(job, step, needed);
-    const bool first_question = step.advice.workers.empty();
-    if (found.preferred_fit < needed && (first_question || any_fit(found.unasked))) {
+    const bool first_query = step.advice.workers.empty();
+    if (found.preferred_fit < needed && (first_query || any_fit(found.unasked))) {
         ask_about(job, step, needed, found, found.unasked);
         return;
     }
     if (found.preferred_fit == 0 && any_fit(found.refused)) {
-        // A ticket for the second choices comes with the same answer.
+        // The same answer renews the tickets for the second choices.
         std::vector<WorkerCandidate> both = found.allowed;
         both.insert(both.end(), found.refused.begin(), found.refused.end());
         ask_about(job, step, needed, found, both);
@@ -235,71 +238,71 @@
     ask(job, step, worker_numbers(found.allowed));
 }
 
-// The most urgent queue's questions are quick and always asked.
+// Queries of the most urgent queue are quick and always sent.
 bool Scheduler::advice_queue_full(const JobRecord& job) const
 {
     const Queue& queue = job.accepted().queue;
     return queue.priority > 0
-        && m_context.advice.waiting_of(queue.name) >= most_waiting_of_queue;
+        && m_context.advice.waiting_of(queue.name) >= max_waiting_per_queue;
 }
 
-void Scheduler::note_query_cost(const AdviceQuery& question)
+void Scheduler::note_query_cost(const AdviceQuery& query)
 {
-    const double cost = question.rule.decision_ms
-        + question.rule.per_worker_ms * double(question.workers.size());
-    double& smoothed = m_query_ms.try_emplace(question.queue, cost).first->second;
-    smoothed += cost_learning * (cost - smoothed);
+    const double cost
+        = query.rule.decision_ms + query.rule.per_worker_ms * double(query.workers.size());
+    double& smoothed = m_query_ms.try_emplace(query.queue, cost).first->second;
+    smoothed += cost_learning_rate * (cost - smoothed);
 }
 
 void Scheduler::ask(const JobRecord& job, Step& step, std::vector<WorkerNumber> workers)
 {
     const Millis now = m_pass_begun;
     if (workers.empty()) {
-        step.advice.retry_at = now + nobody_pause;
+        step.advice.retry_at = now + no_candidate_delay;
         return;
     }
     if (now < step.advice.retry_at || advice_queue_full(job))
         return;
-    AdviceQuery question;
-    question.queue = job.accepted().queue.name;
-    question.step = step.name(job.id());
+    AdviceQuery query;
+    query.queue = job.accepted().queue.name;
+    query.step = step.name(job.id());
     for (const WorkerNumber number : workers)
-        question.workers.push_back(m_workers_by_number[number]->session->id());
-    question.rule = *job.accepted().queue.advice;
-    question.priority = job.accepted().queue.priority;
-    question.waiting_since = step.idle_since;
+        query.workers.push_back(m_workers_by_number[number]->session->id());
+    query.rule = *job.accepted().queue.advice;
+    query.priority = job.accepted().queue.priority;
+    query.waiting_since = step.idle_since;
     step.advice.asking = true;
-    note_query_cost(question);
-    auto came
+    note_query_cost(query);
+    auto on_reply
         = m_lifetime.wrap([this, id = job.id(), repeat = step.repeat, index = step.index,
                            asked = std::move(workers), now](const AdviceReply& reply) {
               advice_received(id, repeat, index, asked, now, reply);
           });
-    m_context.advice.ask(std::move(question), std::move(came));
+    m_context.advice.ask(std::move(query), std::move(on_reply));
 }
 
-// Takes over an answer; returns whether it brought a verdict that wasn't known. An allowed
-// worker that it leaves out stays allowed, as a second choice: the advisor may not have
-// known it for a moment.
+// Stores an answer; returns whether it contained a new verdict. An allowed worker missing
+// from the answer stays allowed as a second choice, since the advisor may have been unaware
+// of it for a moment.
 bool Scheduler::apply_advice(StepAdvice& advice, const std::vector<WorkerNumber>& asked,
                              const std::vector<WorkerTicket>& tickets, Millis now,
                              Millis expires)
 {
-    bool fruitful = false;
+    bool has_news = false;
     for (const WorkerNumber worker : asked) {
         const auto [entry, added] = advice.workers.try_emplace(worker);
         Permission& known = entry->second;
         known.no_ticket = true;
-        known.ask_again_at = now + Millis(refusal_age.count() << known.refusals);
-        known.refusals = std::min(known.refusals + 1, most_refusal_doublings);
-        fruitful = fruitful || added;
+        known.ask_again_at = now + Millis(refusal_retry_delay.count() << known.refusals);
+        known.refusals = std::min(known.refusals + 1, max_refusal_doublings);
+        has_news = has_news || added;
     }
     for (const WorkerTicket& ticket : tickets) {
         const Worker* worker = find_worker(ticket.worker);
         if (worker == nullptr)
             continue;
         Permission& permission = advice.workers[worker->number];
-        fruitful = fruitful || !permission.allowed;
+        has_news = has_news || !permission.allowed;
         permission = Permission();
         permission.allowed = true;
         permission.ticket = ticket.ticket;
@@ -307,9 +310,9 @@
     }
     if (!tickets.empty())
         advice.tickets_until = expires;
-    if (fruitful)
+    if (has_news)
         advice.verdicts_at = now;
-    return fruitful;
+    return has_news;
 }
 
 void Scheduler::advice_received(const std::string& id, int repeat, int index,
@@ -322,26 +325,26 @@
         return;
     const Millis now = m_context.loop.now();
     step->advice.asking = false;
-    step->reserved_until = std::min(step->reserved_until,
-                                    now + m_context.bounds.kill_grace + kept_after_answer);
+    step->reserved_until = std::min(
+        step->reserved_until, now + m_context.bounds.kill_grace + reservation_after_answer);
     if (!reply.tickets) {
-        step->advice.retry_at = now + advice_retry;
+        step->advice.retry_at = now + no_answer_delay;
         return;
     }
     const Millis valid(job->accepted().queue.advice->valid_ms);
-    const bool fruitful = apply_advice(step->advice, asked, *reply.tickets, now,
+    const bool has_news = apply_advice(step->advice, asked, *reply.tickets, now,
                                        now + valid - ticket_margin);
     step->next_placement_at = Millis(0);
-    // Tickets that helped to place nothing are not asked for again at once.
-    step->advice.retry_at = fruitful
+    // Tickets with which nothing could be placed are not requested again at once.
+    step->advice.retry_at = has_news
         ? Millis(0)
-        : now + Millis(fruitless_pause.count() << step->advice.unhelpful_answers);
+        : now + Millis(no_news_delay.count() << step->advice.unhelpful_answers);
     step->advice.unhelpful_answers
-        = fruitful ? 0 : std::min(step->advice.unhelpful_answers + 1, most_doublings);
+        = has_news ? 0 : std::min(step->advice.unhelpful_answers + 1, max_delay_doublings);
     double& share = m_allowed_share[job->accepted().queue.name];
     const double seen = double(reply.tickets->size()) / double(asked.size());
-    if (fruitful)
-        share += share_learning * (seen - share);
+    if (has_news)
+        share += share_learning_rate * (seen - share);
     m_context.metrics.observe_seconds("pathport_advice_seconds",
                                       double((now - asked_at).count()) / 1000);
     log_event(LogLevel::debug, "advice",
--- a/src/jobs.lib/scheduler_bounds.cpp
+++ b/src/jobs.lib/scheduler_bounds.cpp
@@ -2,9 +2,9 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// What workspaces have running, and how many tasks their bounds leave. A task counts from
-/// the choice of its worker until its end is listed there or can't come any more; what may
-/// run without a record counts against every bound.
+/// Resource usage of workspaces and the number of tasks that their bounds still allow. A
+/// task counts from the choice of its worker until its end is reported or can no longer be.
+/// Tasks that may run without a record count against every bound.
 
 #include "scheduler.h"
 
@@ -17,13 +17,13 @@
 
 namespace {
 
-/// Workspaces that one line of the log tells of.
-constexpr size_t most_told = 40;
+/// Upper limit on the workspaces in one log line.
+constexpr size_t max_logged = 40;
 
-void tell_bounds(int64_t version, const std::vector<callers::Workspace>& all)
+void log_bounds(int64_t version, const std::vector<callers::Workspace>& all)
 {
     std::string text;
-    for (size_t i = 0; i < all.size() && i < most_told; ++i) {
+    for (size_t i = 0; i < all.size() && i < max_logged; ++i) {
         const callers::Workspace& workspace = all[i];
         text += workspace.name + " " + std::to_string(std::lround(workspace.weight)) + " "
             + std::to_string(workspace.bound.cpu_millis) + "/"
@@ -46,8 +46,8 @@
                                     : m_usage.number_of(closed->second.workspace);
 }
 
-// Takes the bounds of the newest configuration: where it lowers one, the earlier one may
-// be in force elsewhere, and nothing is started in reliance on it.
+// Applies the bounds of the newest configuration. Where it lowers a bound, the earlier one
+// may still be in force elsewhere; nothing is started in reliance on that one.
 void Scheduler::update_bounds()
 {
     const auto configuration
@@ -57,25 +57,25 @@
     m_bounds_from = configuration;
     if (configuration && configuration->workspaces) {
         m_usage.configure(*configuration->workspaces);
-        tell_bounds(configuration->version, configuration->workspaces->all());
+        log_bounds(configuration->version, configuration->workspaces->all());
         return;
     }
     m_usage.configure(callers::Workspaces(callers::KeyHasher(0)));
 }
 
-// Returns whether the job's workspace had sent more before it than it may count on. Jobs
-// come in the order of their acceptance, or nearly.
+// Returns whether earlier jobs had already used up the share that the job's workspace may
+// count on. Jobs come in the order of their acceptance, or nearly so.
 bool Scheduler::is_beyond_share(const JobRecord& job)
 {
     update_bounds();
-    const bool shares = m_bounds_from && m_bounds_from->workspaces
+    const bool has_share = m_bounds_from && m_bounds_from->workspaces
         && job.workspace != callers::UsageLedger::none;
-    return shares
+    return has_share
         && !m_budgets[job.workspace].try_consume(m_usage.weight_of(job.workspace),
                                                  job.accepted().accepted_ms);
 }
 
-// Brings the ledger up to date for a pass.
+// Updates the ledger for a pass.
 void Scheduler::count_usage()
 {
     update_bounds();
@@ -87,9 +87,9 @@
         m_closed_in_doubt.clear();
 }
 
-// Tasks that earlier leaders recorded on workers which have not reported count as running.
-// So does all room of workers where earlier leaders may have started tasks without a
-// record.
+// Counts tasks that earlier leaders recorded on workers which have not reported as running,
+// and likewise the whole capacity of workers where earlier leaders may have started tasks
+// without a record.
 void Scheduler::count_in_doubt()
 {
     std::map<std::string, Allocation> closed;
@@ -108,8 +108,8 @@
         }
     }
     m_closed_in_doubt = std::move(closed);
-    for (const auto& [name, occupant] : m_closed_in_doubt)
-        m_usage.add_in_doubt(occupant.workspace, occupant.charged);
+    for (const auto& [name, allocation] : m_closed_in_doubt)
+        m_usage.add_in_doubt(allocation.workspace, allocation.charged);
     Resources all;
     Resources largest;
     for (const auto& [id, worker] : m_workers) {
@@ -120,15 +120,15 @@
     }
     for (const std::string& id : m_unresolved) {
         const Worker* worker = find_worker(id);
-        const Resources room = id == any_worker ? all
-            : worker == nullptr                 ? largest
-                                                : worker->session->info().capacity;
-        m_usage.add_in_doubt(callers::UsageLedger::unknown, room);
+        const Resources capacity_in_doubt = id == any_worker ? all
+            : worker == nullptr                              ? largest
+                                : worker->session->info().capacity;
+        m_usage.add_in_doubt(callers::UsageLedger::unknown, capacity_in_doubt);
     }
 }
 
-// The job is about to be forgotten; its tasks in doubt run on until their workers tell, or
-// their leases are over.
+// Called before the job is discarded: its in-doubt tasks stay charged until their workers
+// report or the leases end.
 void Scheduler::keep_in_doubt_charges(const JobRecord& job)
 {
     if (m_in_doubt.empty())
@@ -139,10 +139,10 @@
                 if (step.tasks[i].phase != TaskPhase::in_doubt)
                     continue;
                 const TaskId id { job.id(), number, step.index, static_cast<int>(i) };
-                Allocation occupant;
-                occupant.workspace = job.workspace;
-                occupant.charged = step.spec->need;
-                m_closed_in_doubt[id.to_string()] = occupant;
+                Allocation allocation;
+                allocation.workspace = job.workspace;
+                allocation.charged = step.spec->need;
+                m_closed_in_doubt[id.to_string()] = allocation;
             }
         }
     }
@@ -150,14 +150,15 @@
 
 void Scheduler::discharge_all(const Worker& worker)
 {
-    for (const auto& [name, occupant] : worker.load.allocations())
-        m_usage.discharge(occupant.workspace, occupant.charged);
+    for (const auto& [name, allocation] : worker.load.allocations())
+        m_usage.discharge(allocation.workspace, allocation.charged);
 }
 
-// Returns how many of the tasks of the step that wait may be placed now. What a step lacks
-// is set aside from those of its workspace that come after it, or a wide gang would wait
-// for as long as narrower steps come. Not while the workspace has less than half of its
-// bound: then the others can't be what holds it up for long, and they must not stand.
+// Returns how many of the waiting tasks of the step may be placed now. Capacity that the
+// step lacks is set aside against later steps of its workspace; otherwise a wide gang would
+// wait as long as narrower steps keep coming. Nothing is set aside while the workspace uses
+// less than half of its bound: the other steps cannot delay this one for long then, and
+// must not be blocked.
 int Scheduler::tasks_within_bound(const JobRecord& job, Step& step, int needed)
 {
     const Resources& need = step.spec->need;
--- a/src/jobs.lib/scheduler_context.h
+++ b/src/jobs.lib/scheduler_context.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// What a scheduler is given: the systems around it, and the claim that began its epoch.
+/// Dependencies of a scheduler and the claim that began its epoch.
 
 #pragma once
 
@@ -23,7 +23,7 @@
 
 namespace pathport::jobs {
 
-/// What a scheduler works with; all of it outlives the scheduler.
+/// Dependencies of a scheduler; all of them outlive it.
 struct SchedulerContext {
     EventLoop& loop;
     JobStore& store;
@@ -35,16 +35,19 @@
     Metrics& metrics;
     WorkerTimeouts bounds;
     size_t archive_batch = 1; ///< As in NodeSetup.
-    int64_t link_bytes = 0; ///< The same.
+    int64_t link_bytes = 0; ///< As in NodeSetup.
     Mechanisms mechanisms;
-    const StoreClock* store_clock = nullptr; ///< That clock within bounds, if it is known.
-    /// Returns whether the operators know this service; if missing, all are known.
+    /// Bounds of the clock `store_clock_ms`, where they are known.
+    const StoreClock* store_clock = nullptr;
+    /// Returns whether the operators have configured this service; if unset, all services
+    /// count as configured.
     std::function<bool(const std::string&)> knows_service;
-    /// Returns the configuration in force, or nothing; if missing, nobody has a bound.
+    /// Returns the configuration in force, or nothing; if unset, no workspace has a bound.
     std::function<std::shared_ptr<const Configuration>()> configuration;
 };
 
-/// Runs of one epoch; an epoch's run ids lie above those of all earlier ones.
+/// Number of run ids per epoch; the run ids of an epoch are higher than those of all
+/// earlier ones.
 constexpr int64_t runs_per_epoch = int64_t(1) << 20;
 
 /// The claim that began an epoch.
--- a/src/jobs.lib/scheduler_crashes.cpp
+++ b/src/jobs.lib/scheduler_crashes.cpp
@@ -2,12 +2,12 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Workers that are lost with what ran there, and tasks that are suspected of it. A worker
-/// that crashes says nothing of the cause, so each task that was there is remembered with
-/// it. One that went down with a worker soon after its start is tried again where no other
-/// suspect is, and after a second time with nothing else started beside it. If the worker
-/// is lost once more then, the task is given up and its job has failed; if the task
-/// outlives what it did before, nothing is held against it any more.
+/// Lost workers, the runs lost with them, and tasks suspected of crashing workers. A
+/// crashed worker does not report the cause, so the loss is recorded against every task
+/// that ran there. A task lost soon after its start is retried on a worker without other
+/// suspects and, after a second loss, with nothing else started beside it. If that worker
+/// is lost as well, the task is given up and its job fails. If a run outlives the earlier
+/// ones, the task is cleared.
 
 #include "scheduler.h"
 
@@ -19,28 +19,30 @@
 
 namespace {
 
-/// Tasks that are named in the log for one lost worker.
-constexpr size_t most_told = 24;
-/// A task is given up once so many workers were lost with it, the last one while nothing
-/// else could have done it: the first number if all were lost about as long after its
-/// start.
-constexpr size_t lost_alike = 3;
-constexpr size_t lost_when_alone = 4;
-/// A task that lasts is cleared after this life at the latest: it is on some worker always,
-/// so time alone loses it many.
-constexpr Millis longest_clearing_life { 10000 };
-/// How long a lapsed worker may take to show that it was cut off, and not lost.
-constexpr Millis lapsed_remembered { 60000 };
-/// Workers that are lost within this time may have been lost for the same cause.
-constexpr Millis same_cause { 1500 };
-/// So many others make it likely.
-constexpr int others_of_same_cause = 2;
-/// So long the loss of a worker is remembered: its entry may linger in the list.
-constexpr Millis loss_remembered { 10000 };
+/// Upper limit on the tasks logged for one lost worker.
+constexpr size_t max_logged = 24;
+/// A task is given up once this many workers were lost with it and nothing else could have
+/// caused the last loss. The lower number applies if all were lost about equally long after
+/// the task's start.
+constexpr size_t min_similar_losses = 3;
+constexpr size_t min_losses = 4;
+/// A long-running task is cleared after this run time at the latest: it is always on some
+/// worker, so over time it sees many workers lost for other reasons.
+constexpr Millis max_clearing_runtime { 10000 };
+/// How long a worker with a lapsed lease may take to prove that it was partitioned rather
+/// than lost.
+constexpr Millis lapsed_retention { 60000 };
+/// Workers lost within this time of each other may share a cause.
+constexpr Millis shared_cause_window { 1500 };
+/// A shared cause is likely with this many other losses.
+constexpr int min_correlated_losses = 2;
+/// How long the loss of a worker is remembered, since its entry may linger in the worker
+/// list.
+constexpr Millis loss_retention { 10000 };
 
 } // namespace
 
-// Returns for how long the run is known to have been there; nothing if an earlier leader
+// Returns how long the run is known to have existed, or nothing if an earlier leader
 // started it.
 std::optional<Millis> Scheduler::known_runtime(const Task& task)
 {
@@ -49,18 +51,20 @@
     return std::max(Millis(0), task.listed_at - task.ordered_at);
 }
 
-// Returns the runs that may be on the worker: all whose orders may have reached it.
+// Returns the runs that may be on the worker: all those whose start orders may have
+// arrived.
 std::vector<Scheduler::LostRun> Scheduler::runs_on(const Worker& worker)
 {
     const std::string& id = worker.session->id();
     std::vector<TaskId> tasks;
-    for (const auto& [name, occupant] : worker.load.allocations()) {
+    for (const auto& [name, allocation] : worker.load.allocations()) {
         if (const auto task = TaskId::parse(name))
             tasks.push_back(*task);
     }
-    const auto doubts = m_in_doubt.find(id);
-    if (doubts != m_in_doubt.end())
-        tasks.insert(tasks.end(), doubts->second.begin(), doubts->second.end());
+    const auto in_doubt_tasks = m_in_doubt.find(id);
+    if (in_doubt_tasks != m_in_doubt.end())
+        tasks.insert(tasks.end(), in_doubt_tasks->second.begin(),
+                     in_doubt_tasks->second.end());
     std::vector<LostRun> found;
     for (const TaskId& name : tasks) {
         JobRecord* job = find_job(name.job);
@@ -73,8 +77,7 @@
     return found;
 }
 
-// Returns whether none of another job that was lost with it may have been the cause as
-// well.
+// Returns whether no run of another job that was lost with it could be the cause as well.
 bool Scheduler::is_sole_suspect(const LostRun& run, const std::vector<LostRun>& lost)
 {
     return std::none_of(lost.begin(), lost.end(), [&](const LostRun& other) {
@@ -87,15 +90,15 @@
     });
 }
 
-// Returns whether it was the task, if nothing else could have done it the last time: it was
-// suspected before, and it has happened often enough.
+// Returns whether the task is confirmed as the cause, given that nothing else could have
+// caused the last loss: it was already a likely suspect, and enough workers were lost.
 bool Scheduler::is_confirmed(const CrashRecord& before, const CrashRecord& after)
 {
-    const size_t enough = after.has_similar_runtimes() ? lost_alike : lost_when_alone;
-    return before.suspicion() == Suspicion::likely && after.size() >= enough;
+    const size_t required = after.has_similar_runtimes() ? min_similar_losses : min_losses;
+    return before.suspicion() == Suspicion::likely && after.size() >= required;
 }
 
-// Returns the worst that speaks against any of the tasks.
+// Returns the highest suspicion against any of the tasks.
 Suspicion Scheduler::worst_suspicion(const std::vector<LostRun>& lost)
 {
     Suspicion worst = Suspicion::none;
@@ -108,38 +111,39 @@
     return worst;
 }
 
-// No task on trial explains the loss of the worker.
+// Records a loss that no active suspect accounts for.
 void Scheduler::note_unattributed_loss(const std::string& worker)
 {
     const Millis now = m_context.loop.now();
     auto& losses = m_unattributed_losses;
     for (auto entry = losses.begin(); entry != losses.end();)
-        entry = now - entry->second > loss_remembered ? losses.erase(entry)
-                                                      : std::next(entry);
+        entry
+            = now - entry->second > loss_retention ? losses.erase(entry) : std::next(entry);
     losses.try_emplace(worker, now);
 }
 
-// Returns whether several others were lost at about the same time, and not for what was on
-// trial there: then the cause may lie outside of all of them.
+// Returns whether several other workers were lost at about the same time without a suspect
+// to account for it: the cause may then be external to all of them.
 bool Scheduler::has_correlated_losses(Millis at) const
 {
-    const auto others = std::count_if(
-        m_unattributed_losses.begin(), m_unattributed_losses.end(), [&](const auto& entry) {
-            return at - entry.second < same_cause && entry.second - at < same_cause;
-        });
-    return others >= others_of_same_cause;
+    const auto others = std::count_if(m_unattributed_losses.begin(),
+                                      m_unattributed_losses.end(), [&](const auto& entry) {
+                                          return at - entry.second < shared_cause_window
+                                              && entry.second - at < shared_cause_window;
+                                      });
+    return others >= min_correlated_losses;
 }
 
-// The task waits until it is known whether others fall at the same time: what takes a rack
-// or all workers tells against no task.
+// Delays the verdict until it is known whether other workers are lost at the same time: the
+// loss of a rack or of all workers is no evidence against a task.
 void Scheduler::schedule_verdict(const TaskId& id, Task& task)
 {
     const Millis lost_at = m_context.loop.now();
-    task.verdict_at = lost_at + same_cause;
-    m_context.loop.after(same_cause, m_lifetime.wrap([this, id, lost_at] {
+    task.verdict_at = lost_at + shared_cause_window;
+    m_context.loop.after(shared_cause_window, m_lifetime.wrap([this, id, lost_at] {
         JobRecord* job = find_job(id.job);
-        const Task* judged = job == nullptr ? nullptr : job->task(id);
-        if (judged == nullptr || job->closed() || judged->phase != TaskPhase::waiting)
+        const Task* suspect = job == nullptr ? nullptr : job->task(id);
+        if (suspect == nullptr || job->closed() || suspect->phase != TaskPhase::waiting)
             return;
         if (!has_correlated_losses(lost_at))
             give_up(*job, id, "crashes_its_workers");
@@ -147,24 +151,24 @@
     }));
 }
 
-// Remembers the loss of a worker with the tasks that were there.
+// Records the loss of a worker against the tasks that ran there.
 void Scheduler::attribute_loss(const std::vector<LostRun>& lost, const std::string& worker,
                                const char* reason, Loss loss)
 {
     const Suspicion worst = worst_suspicion(lost);
     if (worst != Suspicion::likely)
         note_unattributed_loss(worker);
-    // The entry of a lost worker may linger, and is found to be over again and again.
+    // The entry of a lost worker may linger, and its end is then found repeatedly.
     if (!lost.empty())
         m_context.metrics.count("pathport_workers_lost_total", { { "reason", reason } });
-    std::vector<bool> alone;
+    std::vector<bool> sole_suspect;
     for (const LostRun& run : lost)
-        alone.push_back(loss == Loss::crash && run.known_runtime
-                        && is_sole_suspect(run, lost));
+        sole_suspect.push_back(loss == Loss::crash && run.known_runtime
+                               && is_sole_suspect(run, lost));
     std::set<std::string> changed;
     for (size_t i = 0; i < lost.size(); ++i) {
         const LostRun& run = lost[i];
-        if (i < most_told)
+        if (i < max_logged)
             log_event(LogLevel::info, "task_lost_with_worker",
                       { { "job", run.task.job },
                         { "task", run.task.to_string() },
@@ -172,9 +176,9 @@
                         { "worker", worker },
                         { "reason", reason },
                         { "lived_ms", run.known_runtime ? run.known_runtime->count() : -1 },
-                        { "alone", alone[i] ? "yes" : "no" },
+                        { "alone", sole_suspect[i] ? "yes" : "no" },
                         { "suspect_there", to_string(worst) } });
-        if (attribute_loss(run, alone[i], worst))
+        if (attribute_loss(run, sole_suspect[i], worst))
             changed.insert(run.task.job);
     }
     for (const std::string& id : changed) {
@@ -184,22 +188,23 @@
     }
 }
 
-// Remembers it with one of them. `worst` is what spoke against any of them before. Returns
-// whether it is news, which the next leader has to know.
-bool Scheduler::attribute_loss(const LostRun& run, bool alone, Suspicion worst)
+// Records the loss against one task. `worst` is the highest suspicion against any of the
+// tasks before. Returns whether the record changed, so that it must be saved for the next
+// leader.
+bool Scheduler::attribute_loss(const LostRun& run, bool sole_suspect, Suspicion worst)
 {
     JobRecord* job = find_job(run.task.job);
     Task* task = job == nullptr ? nullptr : job->task(run.task);
     if (task == nullptr || job->closed() || task->phase == TaskPhase::done)
         return false;
     const CrashRecord before = task->crashes;
-    const Millis life = run.known_runtime.value_or(unknown_runtime);
-    const bool explained
+    const Millis runtime = run.known_runtime.value_or(unknown_runtime);
+    const bool beside_suspect
         = before.suspicion() == Suspicion::none && worst != Suspicion::none;
-    if (!task->crashes.add({ run.run, life.count(), explained }))
+    if (!task->crashes.add({ run.run, runtime.count(), beside_suspect }))
         return false;
     job->step(run.task.repeat, run.task.step)->has_crashes = true;
-    if (alone && is_confirmed(before, task->crashes))
+    if (sole_suspect && is_confirmed(before, task->crashes))
         schedule_verdict(run.task, *task);
     const Suspicion suspicion = task->crashes.suspicion();
     if (suspicion == before.suspicion())
@@ -212,7 +217,7 @@
     return true;
 }
 
-// The job has failed: the task is not started again.
+// Fails the job; the task is not started again.
 void Scheduler::give_up(JobRecord& job, const TaskId& id, const char* reason)
 {
     const CrashRecord& crashes = job.task(id)->crashes;
@@ -227,7 +232,7 @@
     close_if_final(job);
 }
 
-// Returns whether a task of the step is not to be started any more, and its job has failed.
+// Fails the job if a task of the step has used up its starts. Returns whether it did.
 bool Scheduler::give_up_exhausted(JobRecord& job, Step& step)
 {
     for (size_t i = 0; i < step.tasks.size(); ++i) {
@@ -241,14 +246,14 @@
     return false;
 }
 
-// The lease of all that was there is over. A worker that the list still names, or names
-// again, was cut off; one that it has dropped is taken for lost.
+// Handles the end of a worker's lease. A worker that is still listed, or is listed again,
+// was partitioned; one that is no longer listed counts as lost.
 void Scheduler::note_lapsed_runs(const std::string& worker, std::vector<LostRun> lost,
                                  bool listed, Loss loss)
 {
     const Millis now = m_context.loop.now();
     for (auto entry = m_lapsed_runs.begin(); entry != m_lapsed_runs.end();) {
-        const bool old = now - entry->second.at > lapsed_remembered;
+        const bool old = now - entry->second.at > lapsed_retention;
         entry = old ? m_lapsed_runs.erase(entry) : std::next(entry);
     }
     if (lost.empty())
@@ -258,7 +263,7 @@
         attribute_lapsed_runs(worker);
 }
 
-// A worker whose lease had lapsed is lost.
+// A worker with a lapsed lease is lost.
 void Scheduler::attribute_lapsed_runs(const std::string& worker)
 {
     const auto found = m_lapsed_runs.find(worker);
@@ -268,7 +273,7 @@
     attribute_loss(found->second.runs, worker, "lapsed", found->second.loss);
 }
 
-// A worker whose lease had lapsed answers again: it was cut off.
+// A worker with a lapsed lease answers again, so it was only partitioned.
 void Scheduler::retract_lapsed_loss(const std::string& worker)
 {
     const auto found = m_lapsed_runs.find(worker);
@@ -286,25 +291,25 @@
     m_lapsed_runs.erase(found);
 }
 
-// The worker has just listed the task.
+// Called when the worker has just reported the task as running.
 void Scheduler::clear_if_survived(const TaskId& id, Task& task)
 {
-    const Millis life = m_context.loop.now() - task.ordered_at;
+    const Millis runtime = m_context.loop.now() - task.ordered_at;
     Step& step = *find_job(id.job)->step(id.repeat, id.step);
-    step.has_survivor = step.has_survivor || life > startup_window;
+    step.has_survivor = step.has_survivor || runtime > startup_window;
     if (task.crashes.empty())
         return;
     Millis clearing = task.crashes.clearing_runtime();
     if (step.spec->long_running)
-        clearing = std::min(clearing, longest_clearing_life);
-    if (life <= clearing)
+        clearing = std::min(clearing, max_clearing_runtime);
+    if (runtime <= clearing)
         return;
     log_event(LogLevel::info, "task_cleared",
               { { "job", id.job },
                 { "task", id.to_string() },
                 { "worker", task.worker },
                 { "workers_lost", static_cast<int64_t>(task.crashes.size()) },
-                { "lived_ms", life.count() } });
+                { "lived_ms", runtime.count() } });
     task.crashes.clear();
 }
 
--- a/src/jobs.lib/scheduler_gangs.cpp
+++ b/src/jobs.lib/scheduler_gangs.cpp
@@ -2,8 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Gangs that have no room or no tickets yet, and the workers that are kept free for steps
-/// that wait.
+/// Gangs that lack capacity or tickets, and the workers reserved for waiting steps.
 
 #include "scheduler.h"
 
@@ -15,38 +14,37 @@
 
 namespace {
 
-/// Gangs that wait for room and are looked at in one pass.
-constexpr int most_gangs_prepared = 16;
-/// At most one in so many workers is kept free for gangs whose room is not there yet.
+/// Gangs waiting for capacity that are tried in one pass.
+constexpr int max_gangs_prepared = 16;
+/// At most one in this many workers is reserved for gangs whose capacity is not free yet.
 constexpr size_t reserved_fraction = 4;
-/// A gang that got no room for so long on the workers that it may use asks about further
-/// ones.
-constexpr Millis verdicts_patience { 600 };
-/// Pause after a look that showed that all allowed workers together have too little room.
-constexpr Millis hopeless_pause { 100 };
-/// What a gang chose while its room was not there stays kept until it is looked at again
-/// (each 20 ms, and a long pass between). Passes come more often, and the less urgent steps
-/// of each would take the room that has come.
-constexpr Millis kept_until_next_look { 60 };
+/// A gang without enough capacity on its allowed workers for this long asks about further
+/// workers.
+constexpr Millis verdict_wait { 600 };
+/// Delay after all allowed workers together turned out to have too little capacity.
+constexpr Millis no_capacity_delay { 100 };
+/// Workers chosen before enough of their capacity is free stay reserved until the gang is
+/// tried again (every 20 ms, plus a long pass in between). Passes are more frequent, and
+/// the lower-priority steps of each would take the capacity that has become free.
+constexpr Millis reservation_until_retry { 60 };
 
 } // namespace
 
 void Scheduler::reserve(Worker& worker, const Step& step)
 {
     if (uses(Mechanism::reservations))
-        m_capacity_table.keep(worker.number, step);
+        m_capacity_table.reserve_row(worker.number, step);
 }
 
-// Begins a pass: a gang that waits for tickets or for tasks to end keeps the workers that
-// it chose, also from more urgent gangs, since all that it waits for would be in vain
-// otherwise.
+// Begins a pass: a gang that waits for tickets or for tasks to end keeps its reserved
+// workers, even against more urgent gangs, since its wait would otherwise be wasted.
 void Scheduler::renew_reservations(const std::vector<PendingStep>& waiting)
 {
     m_gangs_prepared = 0;
-    m_capacity_table.release_kept();
+    m_capacity_table.release_reservations();
     const Millis now = m_pass_begun;
-    for (const PendingStep& candidate : waiting) {
-        Step& step = *candidate.step;
+    for (const PendingStep& pending : waiting) {
+        Step& step = *pending.step;
         if (now >= step.reserved_until)
             step.reserved_workers.clear();
         for (const WorkerNumber number : step.reserved_workers) {
@@ -56,90 +54,92 @@
     }
 }
 
-// A ticket that holds for so long outlasts the end of the tasks that give way.
+// Tickets valid for at least this long remain valid until preempted tasks have ended.
 Millis Scheduler::min_ticket_lifetime() const
 {
     return m_context.bounds.kill_grace + max_start_latency;
 }
 
-// Keeps workers for the step over the passes to come.
-void Scheduler::keep(Step& step, const std::vector<WorkerCandidate>& workers, Millis span)
+// Keeps the workers reserved for the step over the next passes.
+void Scheduler::extend_reservation(Step& step, const std::vector<WorkerCandidate>& workers,
+                                   Millis span)
 {
     step.reserved_workers = worker_numbers(workers);
     step.reserved_until = m_pass_begun + span;
 }
 
-// A gang waits for room, tickets or verdicts. Verdicts are asked for at once. Workers that
-// it may use are kept free of what comes after it once they suffice, and tickets are only
-// asked for when the room is there.
+// Prepares a gang that lacks capacity, tickets or verdicts. Verdicts are requested at once.
+// Once the allowed workers suffice they are reserved against later steps; tickets are
+// requested only when the capacity is free.
 void Scheduler::prepare_gang(const JobRecord& job, Step& step, int needed)
 {
     const bool advised = job.accepted().queue.advice.has_value();
     if (step.advice.asking || m_pass_begun < step.advice.retry_at)
         return;
-    const bool first_question = advised && step.advice.workers.empty();
-    if (!first_question && ++m_gangs_prepared > most_gangs_prepared)
+    const bool first_query = advised && step.advice.workers.empty();
+    if (!first_query && ++m_gangs_prepared > max_gangs_prepared)
         return;
     WorkerCandidates found = worker_candidates(job, step, needed);
-    const bool room_now = found.fit >= needed;
-    const bool waited_long = m_pass_begun - step.advice.verdicts_at > verdicts_patience;
+    const bool capacity_free = found.fit >= needed;
+    const bool waited_long = m_pass_begun - step.advice.verdicts_at > verdict_wait;
     const bool lacks_verdicts
         = !found.unasked.empty() && (found.potential_fit < needed || waited_long);
-    if (!room_now && advised && (first_question || lacks_verdicts)) {
+    if (!capacity_free && advised && (first_query || lacks_verdicts)) {
         ask_about(job, step, needed, found, found.unasked);
         return;
     }
-    // It has room, but for verdicts that may have changed.
-    const bool refused_would_do = found.fit + found.refused_fit >= needed;
-    if (advised && found.potential_fit < needed && refused_would_do) {
+    // The capacity would suffice with workers whose refusal may have been lifted.
+    const bool refused_suffice = found.fit + found.refused_fit >= needed;
+    if (advised && found.potential_fit < needed && refused_suffice) {
         ask_about(job, step, needed, found, found.refused);
         return;
     }
-    // If all that it may use is not enough, keeping workers free would help nobody.
+    // If all allowed workers are not enough, reserving them would benefit no step.
     if (found.potential_fit < needed) {
-        step.advice.retry_at = m_pass_begun + hopeless_pause;
+        step.advice.retry_at = m_pass_begun + no_capacity_delay;
         return;
     }
-    const bool chosen = choose_for_gang(step, found.allowed, needed, room_now);
-    if (!room_now && !(chosen && preempt_for(job, step, found.allowed, needed))) {
-        keep(step, found.allowed, kept_until_next_look);
+    const bool chosen = choose_for_gang(step, found.allowed, needed, capacity_free);
+    if (!capacity_free && !(chosen && preempt_for(job, step, found.allowed, needed))) {
+        extend_reservation(step, found.allowed, reservation_until_retry);
         return;
     }
-    if (!advised || tickets_last(step, found.allowed)) {
-        keep(step, found.allowed, min_ticket_lifetime());
+    if (!advised || tickets_outlast_preemption(step, found.allowed)) {
+        extend_reservation(step, found.allowed, min_ticket_lifetime());
         return;
     }
     ask(job, step, worker_numbers(found.allowed));
     if (step.advice.asking)
-        keep(step, found.allowed, max_advice_wait);
+        extend_reservation(step, found.allowed, max_advice_wait);
 }
 
-// Keeps workers free for the gang, those with the most room first, and leaves only them in
-// `allowed`. Returns whether they suffice.
+// Reserves workers for the gang, those with the most capacity first, and removes all others
+// from `allowed`. Returns whether they suffice.
 bool Scheduler::choose_for_gang(const Step& step, std::vector<WorkerCandidate>& allowed,
-                                int needed, bool room_now)
+                                int needed, bool capacity_free)
 {
-    const size_t most_reserved = std::max<size_t>(1, m_workers.size() / reserved_fraction);
+    const size_t max_reserved = std::max<size_t>(1, m_workers.size() / reserved_fraction);
     size_t used = 0;
-    int kept = 0;
-    while (used < allowed.size() && kept < needed
-           && (room_now || m_capacity_table.kept_count() < most_reserved)) {
-        kept += room_now ? allowed[used].fit : allowed[used].potential_fit;
+    int capacity_reserved = 0;
+    while (used < allowed.size() && capacity_reserved < needed
+           && (capacity_free || m_capacity_table.reserved_count() < max_reserved)) {
+        capacity_reserved
+            += capacity_free ? allowed[used].fit : allowed[used].potential_fit;
         reserve(*allowed[used++].worker, step);
     }
     allowed.resize(used);
-    return kept >= needed;
+    return capacity_reserved >= needed;
 }
 
-// Returns whether the tickets for all these workers hold until less urgent tasks have
+// Returns whether the tickets for all these workers remain valid until preempted tasks have
 // ended.
-bool Scheduler::tickets_last(const Step& step,
-                             const std::vector<WorkerCandidate>& workers) const
+bool Scheduler::tickets_outlast_preemption(
+    const Step& step, const std::vector<WorkerCandidate>& workers) const
 {
     const Millis until = m_pass_begun + min_ticket_lifetime();
     return std::all_of(
-        workers.begin(), workers.end(), [&](const WorkerCandidate& prospect) {
-            const auto known = step.advice.workers.find(prospect.worker->number);
+        workers.begin(), workers.end(), [&](const WorkerCandidate& candidate) {
+            const auto known = step.advice.workers.find(candidate.worker->number);
             return known != step.advice.workers.end() && known->second.holds(until);
         });
 }
--- a/src/jobs.lib/scheduler_jobs.cpp
+++ b/src/jobs.lib/scheduler_jobs.cpp
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// The life of a job at its scheduler: it arrives, its steps follow each other, it ends.
+/// A job in its scheduler, from its arrival through its steps to its end.
 
 #include "scheduler.h"
 #include "store_keys.h"
@@ -14,12 +14,12 @@
 namespace {
 constexpr Millis archive_interval { 1500 };
 constexpr Millis archive_timeout { 2000 };
-/// Entries that an archived job takes in a transaction, and jobs in one transaction.
+/// Entries that an archived job needs in a transaction, and jobs per transaction.
 constexpr size_t archive_entries = 3;
-/// Cancellations of jobs that are not known yet, remembered at a time: those of some ten
-/// seconds at the users' largest site, 16 bytes each and the set's.
-constexpr size_t most_early_cancels = 2000;
-constexpr size_t most_archived = max_transaction_entries / archive_entries;
+/// Limit on remembered cancellations of jobs that are not known yet: about ten seconds'
+/// worth at the users' largest site, at 16 bytes each plus the set's overhead.
+constexpr size_t max_early_cancels = 2000;
+constexpr size_t max_archived = max_transaction_entries / archive_entries;
 } // namespace
 
 void Scheduler::record(JobRecord& job, std::function<void()> done)
@@ -48,7 +48,7 @@
         job_accepted(accepted, version, "peer");
 }
 
-// `version` is that of the job's row; `source` tells in the log who told of it.
+// `version` is the version of the job's row; `source` names the origin in the log.
 void Scheduler::job_accepted(const AcceptedJob& accepted, int64_t version,
                              const char* source)
 {
@@ -72,8 +72,9 @@
 {
     JobRecord* job = find_job(id);
     if (job == nullptr && m_closed.count(id) == 0) {
-        // The feed, which brings both in their order, may stand still for long.
-        if (m_early_cancels.size() < most_early_cancels)
+        // The feed, which delivers jobs and cancellations in order, may stall for a long
+        // time.
+        if (m_early_cancels.size() < max_early_cancels)
             m_early_cancels.insert(id);
         log_event(LogLevel::info, "cancel_of_unknown_job",
                   { { "job", id },
@@ -106,7 +107,7 @@
         const int number = step.repeat;
         const auto found = job.repeats().find(number);
         if (found != job.repeats().end() && found->second.finished())
-            job.finish_repeat(number); // `step` is gone now.
+            job.finish_repeat(number); // `step` is invalid now.
     }
     close_if_final(job);
 }
@@ -144,8 +145,8 @@
     }
 }
 
-// The final state is in the store: nothing but that state needs to be kept. Tasks that
-// still run have been told to stop; their room is counted at their workers.
+// The final state is in the store, so only that state has to be kept. Tasks that still run
+// have been told to stop; their capacity is accounted for at their workers.
 void Scheduler::job_recorded(const std::string& id)
 {
     JobRecord* job = find_job(id);
@@ -165,9 +166,9 @@
     m_to_archive[job_partition(id)].push_back(id);
 }
 
-// The row of a closed job gives way to a small one in another table, so that a take-over
-// reads open jobs only and the id stays known. Only then is its progress row removed. A
-// write that is lost does no harm: the job is archived by the next leader.
+// Replaces the row of a closed job by a small one in another table, so that a takeover
+// reads only open jobs while the id stays known. The progress row is removed only after
+// that. A lost write does no harm: the next leader archives the job.
 void Scheduler::archive_closed()
 {
     const Millis now = m_context.loop.now();
@@ -179,8 +180,8 @@
         if (ids.size() < m_context.archive_batch)
             continue;
         StoreWrite write;
-        std::vector<std::string> taken;
-        while (!ids.empty() && taken.size() < most_archived) {
+        std::vector<std::string> batch;
+        while (!ids.empty() && batch.size() < max_archived) {
             const std::string& id = ids.back();
             const ClosedJob& closed = m_closed[id];
             write.puts.push_back(
@@ -188,13 +189,13 @@
             write.removes.push_back(job_row(id));
             if (closed.state == JobState::canceled)
                 write.removes.push_back(cancel_row(id));
-            taken.push_back(id);
+            batch.push_back(id);
             ids.pop_back();
         }
         m_context.store.write(write, archive_timeout,
-                              m_lifetime.wrap([this, taken](const StoreResult& result) {
+                              m_lifetime.wrap([this, batch](const StoreResult& result) {
                                   if (result.status == StoreStatus::ok)
-                                      archived(taken);
+                                      archived(batch);
                               }));
     }
 }
--- a/src/jobs.lib/scheduler_load.cpp
+++ b/src/jobs.lib/scheduler_load.cpp
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// How a scheduler learns what is recorded, which workers there are, and which jobs come.
+/// How a scheduler loads the recorded state and learns of workers and jobs.
 
 #include "scheduler.h"
 #include "store_keys.h"
@@ -18,17 +18,17 @@
 namespace {
 
 constexpr Millis read_timeout { 1500 };
-/// How long a new leader waits for the workers' first reports before it orders without the
-/// silent ones.
-constexpr Millis settle_time { 250 };
+/// How long a new leader waits for the workers' first reports before it starts scheduling
+/// without the silent ones.
+constexpr Millis first_report_wait { 250 };
 constexpr Millis workers_interval { 700 };
 constexpr Millis workers_retry { 150 };
-/// The list is read so often within the time that is left to heed an announced end: two
-/// reads may be lost or slow.
-constexpr int reads_of_list = 3;
-/// A start takes so long at most from the choice of the worker to the worker: the record
-/// and the order. Left off the time in which an announced end has to be heeded.
-constexpr Millis start_time { 400 };
+/// Number of list reads within the time left to observe an announced end, so that two reads
+/// may be lost or slow.
+constexpr int list_reads = 3;
+/// Maximum time from choosing a worker to the order's arrival, for the record and the
+/// order. Subtracted from the time within which an announced end has to be observed.
+constexpr Millis start_latency { 400 };
 
 void append(std::vector<StoredRow>& all, std::vector<StoredRow> rows)
 {
@@ -46,13 +46,13 @@
     m_progress_reader.read(
         progress_table, { scheduler_partition },
         [this](std::vector<StoredRow> rows) { append(m_loaded_progress, std::move(rows)); },
-        [this](int64_t) { loaded_table(); });
+        [this](int64_t) { table_loaded(); });
     m_job_reader.read(
         jobs_table, job_partition_names(),
         [this](std::vector<StoredRow> rows) { append(m_loaded_jobs, std::move(rows)); },
         [this](int64_t version) {
             m_jobs_version = version;
-            loaded_table();
+            table_loaded();
         });
     read_workers();
     tick();
@@ -65,14 +65,14 @@
                                       double(span.count()) / 1000, { { "phase", phase } });
 }
 
-void Scheduler::loaded_table()
+void Scheduler::table_loaded()
 {
     if (--m_loading > 0 || m_phase != Phase::loading)
         return;
     build_records();
     m_phase = Phase::awaiting_reports;
     observe_phase("loaded");
-    m_activate_by = m_context.loop.now() + settle_time;
+    m_activate_by = m_context.loop.now() + first_report_wait;
     log_event(LogLevel::info, "takeover_loaded",
               { { "epoch", m_claim.head.epoch },
                 { "open_jobs", static_cast<int64_t>(m_jobs.size()) },
@@ -83,7 +83,8 @@
         inherit_from_previous(id);
         worker.session->start_polling();
     }
-    m_context.loop.after(settle_time, m_lifetime.wrap([this] { activate_when_ready(); }));
+    m_context.loop.after(first_report_wait,
+                         m_lifetime.wrap([this] { activate_when_ready(); }));
     m_feed.begin(m_jobs_version, m_load_begun);
     activate_when_ready();
 }
@@ -132,17 +133,17 @@
         job->loaded = true;
         open.push_back(std::move(job));
     }
-    // What is beyond a workspace's share depends on the order in which its jobs came.
+    // The share of a workspace depends on the order in which its jobs came.
     std::sort(open.begin(), open.end(), [](const auto& left, const auto& right) {
         return left->accepted().accepted_ms < right->accepted().accepted_ms;
     });
     for (auto& job : open)
         add_job(std::move(job));
-    // What is left belongs to jobs that an earlier leader had archived.
+    // The remaining rows belong to jobs that an earlier leader had archived.
     for (const auto& [id, value] : progress) {
         const auto final_state = final_state_of_progress(*value);
         if (!final_state) {
-            // An earlier leader ran tasks of it, so it must have been accepted.
+            // An earlier leader ran tasks of the job, so it must have been accepted.
             log_event(LogLevel::error, "progress_without_job",
                       { { "job", id }, { "epoch", m_claim.head.epoch } });
             continue;
@@ -170,36 +171,36 @@
 }
 
 // A worker that announces its end must not get a task later than a known time after that,
-// so a list that may lack such an announcement is no ground for a start. A list of a
-// thousand workers comes in pages, and a store that is slow or loses answers, or a node
-// that is short of processor time, can make it older than that.
+// so nothing is started on the basis of a list that may lack such an announcement. The list
+// can become older than that if a store is slow or loses answers, or a node is short of
+// processor time: a list of a thousand workers is read in pages.
 bool Scheduler::list_is_fresh() const
 {
     return m_context.loop.now() - m_workers_as_of
-        < m_context.bounds.drain_margin - start_time;
+        < m_context.bounds.drain_margin - start_latency;
 }
 
 void Scheduler::workers_read(const WorkerList& answer, Millis begun)
 {
     if (m_phase == Phase::terminated)
         return;
-    const bool good = answer.status == StoreStatus::ok && answer.value;
-    if (good) {
+    const bool complete = answer.status == StoreStatus::ok && answer.value;
+    if (complete) {
         m_workers_as_of = begun;
         m_stale_list_logged = false;
         update_workers(*answer.value);
         m_workers_known = true;
         activate_when_ready();
     }
-    const Millis heeded = m_context.bounds.drain_margin - start_time;
+    const Millis observation_time = m_context.bounds.drain_margin - start_latency;
     const Millis interval
-        = std::min(workers_interval, Millis(heeded.count() / reads_of_list));
+        = std::min(workers_interval, Millis(observation_time.count() / list_reads));
     const Millis took = m_context.loop.now() - begun;
-    m_context.loop.after(good ? std::max(Millis(0), interval - took) : workers_retry,
+    m_context.loop.after(complete ? std::max(Millis(0), interval - took) : workers_retry,
                          m_lifetime.wrap([this] { read_workers(); }));
 }
 
-// A service that the configuration dropped may still have jobs.
+// A service that was removed from the configuration may still have jobs.
 bool Scheduler::is_used(const std::string& service) const
 {
     return !m_context.knows_service || m_context.knows_service(service)
@@ -247,9 +248,10 @@
                   { { "job", row.id.key }, { "reason", reason.detail() } });
 }
 
-// Of a job that an earlier leader knew, a task may run without a record on a worker that is
-// silent to us. An earlier leader that isn't aware of this one hears of new jobs as well,
-// as long as its lease lasts; what counts is when they came, not when they are known here.
+// A task of a job known to an earlier leader may run without a record on a worker that is
+// silent to this one. An earlier leader that is unaware of this one still receives new jobs
+// while its lease lasts, so the acceptance time counts, not the time when the job became
+// known here.
 bool Scheduler::awaits_unrecorded_runs(const JobRecord& job) const
 {
     if (m_unresolved.empty())
@@ -257,7 +259,7 @@
     return job.loaded || job.accepted().accepted_ms < m_earlier_leaders_until_ms;
 }
 
-// What runs on the worker is known now, or nothing does.
+// The runs on the worker are known now, or it has none.
 void Scheduler::resolve_unrecorded(const std::string& worker)
 {
     if (m_unresolved.erase(worker) == 0 || !m_unresolved.empty())
@@ -268,42 +270,44 @@
     schedule_pass();
 }
 
-// What an earlier leader intended for workers that are not listed has ended by now.
-void Scheduler::release_expired_doubts()
+// Releases tasks that an earlier leader intended for workers that are not listed, once they
+// must have ended.
+void Scheduler::release_expired_in_doubt()
 {
     const Millis now = m_context.loop.now();
     const std::set<std::string> unresolved = m_unresolved;
     for (const std::string& worker : unresolved) {
-        // Of a listed worker its session tells sooner.
+        // The session of a listed worker knows sooner.
         const bool listed = m_workers.count(worker) > 0;
         if (now >= (listed ? m_earlier_leases_until : earlier_leases_until(worker)))
             resolve_unrecorded(worker);
     }
-    for (auto doubts = m_in_doubt.begin(); doubts != m_in_doubt.end();) {
-        if (m_workers.count(doubts->first) > 0 || now < earlier_leases_until(doubts->first)
-            || now < unconfirmed_until(doubts->first)) {
-            ++doubts;
+    for (auto in_doubt_tasks = m_in_doubt.begin(); in_doubt_tasks != m_in_doubt.end();) {
+        if (m_workers.count(in_doubt_tasks->first) > 0
+            || now < earlier_leases_until(in_doubt_tasks->first)
+            || now < unconfirmed_until(in_doubt_tasks->first)) {
+            ++in_doubt_tasks;
             continue;
         }
-        const std::string worker = doubts->first;
+        const std::string worker = in_doubt_tasks->first;
         std::vector<LostRun> lost;
-        for (const TaskId& id : doubts->second) {
+        for (const TaskId& id : in_doubt_tasks->second) {
             JobRecord* job = find_job(id.job);
             const Task* task = job == nullptr ? nullptr : job->task(id);
             if (task != nullptr && task->phase == TaskPhase::in_doubt
                 && task->worker == worker)
                 lost.push_back({ id, task->run, std::nullopt });
         }
-        release_in_doubt(worker, doubts->second);
+        release_in_doubt(worker, in_doubt_tasks->second);
         m_unconfirmed_until.erase(worker);
-        doubts = m_in_doubt.erase(doubts);
+        in_doubt_tasks = m_in_doubt.erase(in_doubt_tasks);
         note_lapsed_runs(worker, std::move(lost), false, Loss::silence);
         schedule_pass();
     }
 }
 
-// A thousand workers report at a take-over; each then finds its tasks without a walk over
-// all jobs.
+// Indexes in-doubt tasks by worker. At a takeover a thousand workers report, and each finds
+// its tasks without a scan of all jobs.
 void Scheduler::note_in_doubt(const JobRecord& job)
 {
     for (const auto& [number, repeat] : job.repeats()) {
--- a/src/jobs.lib/scheduler_pass.cpp
+++ b/src/jobs.lib/scheduler_pass.cpp
@@ -2,7 +2,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// A pass of the scheduler: which tasks go first, and which workers have room for them.
+/// A scheduling pass: orders the steps that wait and finds workers with enough capacity for
+/// them.
 
 #include "scheduler.h"
 
@@ -15,33 +16,35 @@
 
 namespace {
 
-/// What happens within this time is dealt with in one pass.
+/// Events within this time are handled by one pass.
 constexpr Millis pass_delay { 2 };
-/// Passes take at most one part in so many of the time: with hundreds of steps that wait
-/// they would take all that the exchange with workers, store and clients leaves.
-constexpr int64_t pass_part = 4;
-/// The pause that follows from that is no longer: urgent steps wait for it.
-constexpr Millis longest_pass_pause { 25 };
-/// A pass ends after this time even if candidates are left, so that leases and orders are
-/// not held up by a long queue.
-constexpr Millis longest_pass { 12 };
-/// For so long a pass goes by urgency. What it has not reached by then follows by how long
-/// ago it was looked at: steps that wait in vain would keep those behind them from room
-/// that only these can use. The rest of a pass is short, since gangs need many looks.
-constexpr Millis urgent_part { 10 };
-/// Nothing is started on knowledge of cancellations that is older.
-constexpr Millis stale_jobs { 2200 };
-/// A less urgent step for which there was no room is looked at again after this time: with
-/// hundreds of such steps, a look at each end of a task would take all of the processor.
-constexpr Millis room_check_interval { 20 };
-constexpr size_t clock_reading_interval = 4; ///< In candidates.
-/// A member of a gang is not placed again later than so long before the others give up: its
-/// order has to be recorded and to arrive, and the gang is stopped 0.7 s before.
+/// Passes may take at most 1/4 of the time. With hundreds of waiting steps they would
+/// otherwise use up all the time left by communication with workers, store and clients.
+constexpr int64_t pass_time_divisor = 4;
+/// Upper bound on the resulting pause, since urgent steps wait for it.
+constexpr Millis max_pass_pause { 25 };
+/// A pass ends after this time even if steps are left, so that a long queue does not delay
+/// leases and orders.
+constexpr Millis max_pass_time { 12 };
+/// For this long a pass follows the order of urgency. The remaining steps follow, least
+/// recently tried first: otherwise steps that cannot be placed would keep those behind them
+/// from capacity that only these can use. The rest of a pass is short, since gangs need
+/// many attempts.
+constexpr Millis urgent_pass_time { 10 };
+/// Nothing is started while the known cancellations are older than this.
+constexpr Millis max_feed_age { 2200 };
+/// A lower-priority step that found no capacity is retried after this time: with hundreds
+/// of such steps, a retry at the end of every task would take a whole processor.
+constexpr Millis capacity_retry_interval { 20 };
+constexpr size_t clock_reading_interval = 4; ///< In steps.
+/// A member of a gang is placed again only if at least this much time is left before the
+/// other members give up: its order has to be recorded and delivered, and the gang is
+/// stopped 0.7 s before they give up.
 constexpr Millis gang_refill_margin { 1200 };
-/// A step of which nothing was placed for so long goes before the others of its priority
-/// while room is ample, the oldest first.
+/// A step with nothing placed for this long goes before the others of its priority while
+/// capacity is ample, the longest waiting first.
 constexpr Millis overdue_time { 1000 };
-/// Room is ample while more than this share of it is free.
+/// Capacity is ample while more than this share of it is free.
 constexpr double ample_share = 0.5;
 
 } // namespace
@@ -52,8 +55,8 @@
         return;
     m_pass_due = true;
     const Millis since = m_context.loop.now() - m_pass_begun;
-    const Millis pause = std::min(longest_pass_pause,
-                                  Millis(m_last_pass_time.count() * pass_part) - since);
+    const Millis pause = std::min(
+        max_pass_pause, Millis(m_last_pass_time.count() * pass_time_divisor) - since);
     m_context.loop.after(std::max(pass_delay, pause), m_lifetime.wrap([this] {
         m_pass_due = false;
         pass();
@@ -65,7 +68,7 @@
     if (m_phase != Phase::scheduling || !orders_allowed())
         return;
     // After a pause of this process, cancellations are read before anything is started.
-    if (m_context.loop.now() - m_feed.known_at() > stale_jobs) {
+    if (m_context.loop.now() - m_feed.known_at() > max_feed_age) {
         m_feed.poll_now();
         return;
     }
@@ -74,7 +77,7 @@
             log_event(LogLevel::warn, "worker_list_stale",
                       { { "age_ms", (m_context.loop.now() - m_workers_as_of).count() } });
         m_stale_list_logged = true;
-        return; // The list's next reading causes a pass.
+        return; // The next read of the list triggers a pass.
     }
     const Millis begun = m_context.loop.now();
     m_pass_begun = begun;
@@ -83,20 +86,20 @@
     std::vector<PendingStep> waiting = pending_steps();
     m_steps_waiting = waiting.size();
     renew_reservations(waiting);
-    // Less urgent steps that were looked at just now are in one of the passes to come.
+    // Lower-priority steps tried a moment ago are left to a later pass.
     const auto due
         = std::stable_partition(waiting.begin(), waiting.end(), [begun](const auto& entry) {
               return begun >= entry.step->next_placement_at;
           });
-    const bool put_off = due != waiting.end();
+    const bool deferred = due != waiting.end();
     waiting.erase(due, waiting.end());
-    const size_t urgent = place_until(waiting, 0, begun + urgent_part);
+    const size_t urgent = place_until(waiting, 0, begun + urgent_pass_time);
     std::stable_sort(waiting.begin() + static_cast<std::ptrdiff_t>(urgent), waiting.end(),
                      [](const PendingStep& left, const PendingStep& right) {
                          return left.step->placement_tried_at
                              < right.step->placement_tried_at;
                      });
-    const size_t seen = place_until(waiting, urgent, begun + longest_pass);
+    const size_t seen = place_until(waiting, urgent, begun + max_pass_time);
     const bool cut_short = seen < waiting.size();
     m_last_pass_time = m_context.loop.now() - begun;
     ++m_load_counts.passes;
@@ -105,12 +108,12 @@
     m_load_counts.steps_left += static_cast<int64_t>(waiting.size() - seen);
     if (cut_short)
         schedule_pass();
-    if (put_off)
+    if (deferred)
         schedule_recheck();
 }
 
-// Places candidates from `first` on until the time is over. Returns the first one that it
-// did not look at.
+// Places steps from index `first` on until `end`. Returns the index of the first step that
+// was not tried.
 size_t Scheduler::place_until(const std::vector<PendingStep>& waiting, size_t first,
                               Millis end)
 {
@@ -119,20 +122,20 @@
         waiting[next].step->placement_tried_at = m_pass_begun;
         place(waiting[next]);
         ++next;
-        // Reading the clock costs more than many a candidate.
+        // Reading the clock takes longer than trying many of the steps.
         if ((next - first) % clock_reading_interval == 0 && m_context.loop.now() > end)
             break;
     }
     return next;
 }
 
-// Steps that were not looked at in this pass are in one to come, also if nothing happens.
+// Schedules another pass for steps that this one did not try, even if no event occurs.
 void Scheduler::schedule_recheck()
 {
     if (m_recheck_due)
         return;
     m_recheck_due = true;
-    m_context.loop.after(room_check_interval, m_lifetime.wrap([this] {
+    m_context.loop.after(capacity_retry_interval, m_lifetime.wrap([this] {
         m_recheck_due = false;
         schedule_pass();
     }));
@@ -154,18 +157,18 @@
     }
     const int64_t now_ms = m_context.store_clock_ms();
     const bool ample = free_share() > ample_share;
-    for (PendingStep& candidate : found) {
-        candidate.slack_ms = slack_ms(*candidate.job, now_ms);
-        candidate.late = candidate.slack_ms < 0;
-        candidate.overdue = is_overdue(candidate, ample);
+    for (PendingStep& pending : found) {
+        pending.slack_ms = slack_ms(*pending.job, now_ms);
+        pending.late = pending.slack_ms < 0;
+        pending.overdue = is_overdue(pending, ample);
     }
     const bool by_slack = uses(Mechanism::slack_order);
-    const auto key = [by_slack](const PendingStep& candidate) {
-        const AcceptedJob& job = candidate.job->accepted();
-        const int64_t order = by_slack ? candidate.slack_ms : job.accepted_ms;
-        return std::make_tuple(
-            candidate.job->rank(), !candidate.overdue, by_slack && candidate.late,
-            candidate.overdue ? candidate.step->idle_since.count() : order);
+    const auto key = [by_slack](const PendingStep& pending) {
+        const AcceptedJob& job = pending.job->accepted();
+        const int64_t order = by_slack ? pending.slack_ms : job.accepted_ms;
+        return std::make_tuple(pending.job->rank(), !pending.overdue,
+                               by_slack && pending.late,
+                               pending.overdue ? pending.step->idle_since.count() : order);
     };
     std::stable_sort(found.begin(), found.end(),
                      [&](const PendingStep& left, const PendingStep& right) {
@@ -174,24 +177,24 @@
     return found;
 }
 
-// Where room is ample, what holds a step up is advice. By slack alone a step that is late
-// goes behind all that can still be in time, for ever if advice is scarcer than they are:
-// with one or two nodes of six left, 5 to 20 jobs stood while later ones came
-// (scarce_advice_test).
-bool Scheduler::is_overdue(const PendingStep& candidate, bool room_is_ample)
+// With ample capacity, a step waits only for advice. If ordered by slack alone, a late step
+// goes behind all steps that can still meet their deadlines, and waits forever if there is
+// not enough advice for those: with one or two of six nodes left, 5 to 20 jobs were never
+// started while later ones ran (scarce_advice_test).
+bool Scheduler::is_overdue(const PendingStep& pending, bool capacity_is_ample)
 {
-    Step& step = *candidate.step;
+    Step& step = *pending.step;
     if (step.placed() > 0) {
         step.idle_since = Millis(0);
         return false;
     }
     if (step.idle_since == Millis(0))
         step.idle_since = m_pass_begun;
-    return room_is_ample && candidate.job->accepted().queue.advice
+    return capacity_is_ample && pending.job->accepted().queue.advice
         && m_pass_begun - step.idle_since > overdue_time;
 }
 
-// Returns which share of the processors of the workers that can be used is free.
+// Returns the free share of the processors of all usable workers.
 double Scheduler::free_share() const
 {
     int64_t all = 0;
@@ -206,15 +209,15 @@
     return all == 0 ? 0 : double(free) / double(all);
 }
 
-// Returns how long the job may still wait and be done in its time, by its submitter's guess
-// of its work; below 0 when it will be late anyhow.
+// Returns how long the job can still wait and meet its deadline, by the submitter's
+// estimate of its work; negative if it will be late in any case.
 int64_t Scheduler::slack_ms(JobRecord& job, int64_t now_ms)
 {
     const int64_t due = job.accepted().accepted_ms + allowed_ms(job);
     return due - now_ms - job.remaining_chain_ms();
 }
 
-// Returns how long the job may take in all, by its submitter's guess of its work.
+// Returns the total time the job may take, by the submitter's estimate of its work.
 int64_t Scheduler::allowed_ms(JobRecord& job)
 {
     const Queue& queue = job.accepted().queue;
@@ -222,8 +225,8 @@
         + queue.slo_ms;
 }
 
-// A gang is placed whole, or a member that never started soon after the others. A member
-// whose run has ended can't join that run again.
+// A gang is placed as a whole, or completed by a member that never started, soon after the
+// others. A member whose run has ended cannot rejoin that run.
 bool Scheduler::gang_may_be_placed(const Step& step) const
 {
     const int placed = step.placed();
@@ -251,21 +254,21 @@
 PlacementOption Scheduler::option_on(const Worker& worker, const Step& step,
                                      const std::string& name) const
 {
-    PlacementOption room;
-    room.worker = worker.session->id();
-    room.rack = worker.rack;
-    room.free = worker.session->info().capacity - worker.load.used();
+    PlacementOption option;
+    option.worker = worker.session->id();
+    option.rack = worker.rack;
+    option.free = worker.session->info().capacity - worker.load.used();
     if (step.spec->max_per_worker > 0)
-        room.step_tasks = worker.load.count_of_step(name);
-    room.max_new_tasks = new_task_limit(worker);
-    return room;
+        option.step_tasks = worker.load.count_of_step(name);
+    option.max_new_tasks = new_task_limit(worker);
+    return option;
 }
 
-// A worker that surprised lately gets nothing for a while, then one task at a time, and
-// then is trusted again: a gang might wait for it in vain otherwise.
+// A worker with recent faults gets no tasks for a while, then one at a time, and is then
+// trusted again: otherwise a gang could wait for it in vain.
 int Scheduler::new_task_limit(const Worker& worker) const
 {
-    const Millis until = std::max(worker.held_until, worker.avoid_until);
+    const Millis until = std::max(worker.reserved_until, worker.avoid_until);
     if (worker.isolated || m_pass_begun < until)
         return 0;
     if (m_pass_begun < worker.avoid_until + probation_time && worker.consecutive_faults > 0)
@@ -295,12 +298,12 @@
     m_capacity_table.set(worker.number, row);
 }
 
-// Rows follow what is placed and what workers report at once. What changes without either,
-// a worker that falls silent or has been left alone for long enough, they follow so late;
-// a look that finds room there in vain is corrected when the order is to be sent.
+// Rows are updated at once on placement and on reports. Other changes, such as a worker
+// that falls silent or whose avoidance period ends, reach them with this delay; a placement
+// based on an outdated row is corrected before its order is sent.
 void Scheduler::refresh_rows()
 {
-    if (m_pass_begun - m_capacity_refreshed_at < room_check_interval)
+    if (m_pass_begun - m_capacity_refreshed_at < capacity_retry_interval)
         return;
     m_capacity_refreshed_at = m_pass_begun;
     for (Worker* worker : m_workers_by_number) {
@@ -311,7 +314,7 @@
     }
 }
 
-// Returns the workers where tasks of the step failed or came to nothing.
+// Returns the workers where tasks of the step failed or could not be started.
 std::vector<WorkerNumber> Scheduler::second_choices(const Step& step) const
 {
     std::vector<WorkerNumber> workers;
@@ -334,23 +337,24 @@
     return workers;
 }
 
-// Returns whether a task of the step has failed so lately that others should be found
-// first, and there may be others: what has just failed leaves its room on the same worker,
-// and its tickets, at hand. The time is that of an answer about further workers, for each
-// failure.
+// Returns whether a task of the step has failed so recently that other workers should be
+// found first, if there may be any: the failed task leaves free capacity and valid tickets
+// on the same worker. The time allowed per failure is that of an answer about further
+// workers.
 bool Scheduler::avoids_second_choices(const JobRecord& job, const Step& step) const
 {
-    constexpr int answers = 2; // The present one of the queue may be under way.
+    constexpr int answers = 2; // The queue's current query may be in progress.
     constexpr int workers_asked = 30;
-    constexpr Millis way { 100 };
+    constexpr Millis round_trip { 100 };
     const auto& rule = job.accepted().queue.advice;
     const double answer_ms
         = rule ? rule->decision_ms + rule->per_worker_ms * workers_asked : 0;
-    const Millis patience = way + Millis(static_cast<int64_t>(answers * answer_ms));
+    const Millis avoidance_time
+        = round_trip + Millis(static_cast<int64_t>(answers * answer_ms));
     return std::any_of(step.tasks.begin(), step.tasks.end(), [&](const Task& task) {
         const auto failures = static_cast<int64_t>(task.failed_runs.size());
         return task.phase == TaskPhase::waiting && failures > 0
-            && m_pass_begun - task.failed_at < Millis(patience.count() * failures);
+            && m_pass_begun - task.failed_at < Millis(avoidance_time.count() * failures);
     });
 }
 
@@ -363,20 +367,20 @@
         return {};
     const std::string key = step.name(job.id());
     const std::vector<WorkerNumber> second = second_choices(step);
-    std::vector<PlacementOption> rooms;
-    std::vector<PlacementOption> second_rooms;
+    std::vector<PlacementOption> options;
+    std::vector<PlacementOption> second_options;
     const auto consider = [&](WorkerNumber number) {
         const CapacityRow& row = m_capacity_table.row(number);
-        const bool no_room = !row.open || !row.available_to(step)
+        const bool no_capacity = !row.open || !row.available_to(step)
             || tasks_that_fit_into(*step.spec, row.free, 1, row.max_new_tasks) == 0;
-        if (no_room || !is_eligible(*m_workers_by_number[number], job, step))
+        if (no_capacity || !is_eligible(*m_workers_by_number[number], job, step))
             return;
-        PlacementOption room = option_on(*m_workers_by_number[number], step, key);
-        room.slow = row.slow && job.accepted().queue.priority == 0;
-        if (tasks_that_fit(*step.spec, room) == 0)
+        PlacementOption option = option_on(*m_workers_by_number[number], step, key);
+        option.slow = row.slow && job.accepted().queue.priority == 0;
+        if (tasks_that_fit(*step.spec, option) == 0)
             return;
-        room.second_choice = std::binary_search(second.begin(), second.end(), number);
-        (room.second_choice ? second_rooms : rooms).push_back(room);
+        option.second_choice = std::binary_search(second.begin(), second.end(), number);
+        (option.second_choice ? second_options : options).push_back(option);
     };
     if (advised) {
         for (const auto& [number, permission] : step.advice.workers) {
@@ -387,25 +391,27 @@
         for (WorkerNumber number = 0; number < m_capacity_table.size(); ++number)
             consider(number);
     }
-    // Where a task came to nothing before, it goes only when there is no other room.
+    // Workers where a task was unsuccessful before are used only if there is no other
+    // capacity.
     int fit = 0;
-    for (const PlacementOption& room : rooms)
-        fit += tasks_that_fit(*step.spec, room);
+    for (const PlacementOption& option : options)
+        fit += tasks_that_fit(*step.spec, option);
     if (fit < needed && !avoids_second_choices(job, step))
-        rooms.insert(rooms.end(), second_rooms.begin(), second_rooms.end());
-    return rooms;
+        options.insert(options.end(), second_options.begin(), second_options.end());
+    return options;
 }
 
-void Scheduler::place(const PendingStep& candidate)
+void Scheduler::place(const PendingStep& pending)
 {
-    JobRecord& job = *candidate.job;
-    Step& step = *candidate.step;
+    JobRecord& job = *pending.job;
+    Step& step = *pending.step;
     if (job.closed() || (step.has_crashes && give_up_exhausted(job, step)))
         return;
-    const bool apart = step.has_crashes && !step.spec->gang;
+    const bool separates_suspects = step.has_crashes && !step.spec->gang;
     std::vector<size_t> suspects
-        = apart ? suspects_to_try(job, step) : std::vector<size_t>();
-    const int waiting = apart ? step.unsuspected_waiting() : step.count(TaskPhase::waiting);
+        = separates_suspects ? suspects_to_try(job, step) : std::vector<size_t>();
+    const int waiting
+        = separates_suspects ? step.unsuspected_waiting() : step.count(TaskPhase::waiting);
     const int wanted = waiting + static_cast<int>(suspects.size());
     const int needed = tasks_within_bound(job, step, wanted);
     if (needed == 0)
@@ -413,36 +419,36 @@
     const int others = std::min(waiting, needed);
     if (needed - others < static_cast<int>(suspects.size()))
         suspects.resize(static_cast<size_t>(needed - others));
-    std::vector<PlacementOption> rooms = placement_options(job, step, needed);
-    if (step.has_crashes && step.spec->gang && gang_awaits_isolation(step, needed, rooms))
+    std::vector<PlacementOption> options = placement_options(job, step, needed);
+    if (step.has_crashes && step.spec->gang && gang_awaits_isolation(step, needed, options))
         return;
     int fit = 0;
-    int first_fit = 0; // That of which is no second choice.
-    for (const PlacementOption& room : rooms) {
-        const int here = tasks_that_fit(*step.spec, room);
+    int preferred_fit = 0; // The part of it that is not on second choices.
+    for (const PlacementOption& option : options) {
+        const int here = tasks_that_fit(*step.spec, option);
         fit += here;
-        first_fit += room.second_choice ? 0 : here;
+        preferred_fit += option.second_choice ? 0 : here;
     }
     if (job.rank() > 0)
-        step.next_placement_at = m_pass_begun + room_check_interval;
+        step.next_placement_at = m_pass_begun + capacity_retry_interval;
     if (step.spec->gang && fit < needed) {
         prepare_gang(job, step, needed);
         return;
     }
-    if (first_fit < needed && !step.spec->gang && job.accepted().queue.advice)
+    if (preferred_fit < needed && !step.spec->gang && job.accepted().queue.advice)
         ask_for_independent(job, step, needed);
-    place_suspects(job, step, suspects, rooms);
+    place_suspects(job, step, suspects, options);
     if (fit == 0)
         return;
-    const std::vector<Assignment> shares
-        = choose_workers(*step.spec, others, step.spec->gang, rooms);
-    if (shares.empty())
+    const std::vector<Assignment> assignments
+        = choose_workers(*step.spec, others, step.spec->gang, options);
+    if (assignments.empty())
         return;
     step.next_placement_at = Millis(0);
-    record_intent(job, step, step.waiting_tasks(!apart), shares);
+    record_intent(job, step, step.waiting_tasks(!separates_suspects), assignments);
 }
 
-// Tells in the log why a step has not started, for whoever asks about its job.
+// Logs why a step has not started, for operators and users asking about its job.
 void Scheduler::log_wait_reason(const JobRecord& job, Step& step, Millis now)
 {
     if (now - job.seen() <= min_explanation_interval || step.count(TaskPhase::waiting) == 0
--- a/src/jobs.lib/scheduler_reconcile.cpp
+++ b/src/jobs.lib/scheduler_reconcile.cpp
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// What runs at a worker is compared with what should.
+/// Reconciles the runs that a worker reports with those that are placed there.
 
 #include "scheduler.h"
 
@@ -10,7 +10,7 @@
 
 namespace pathport::jobs {
 
-// Of a run whose job is closed it isn't known what it takes: the whole worker at most.
+// The resources of a run of a closed job are unknown; the whole worker is the upper bound.
 void Scheduler::occupy_unexpected(Worker& worker, const RunningTask& running)
 {
     JobRecord* job = find_job(running.task.job);
@@ -21,12 +21,11 @@
     occupy(worker, running.task, running.run, step == nullptr ? unknown : *step->spec, job);
 }
 
-// What runs is compared with what should in every report, not only in the first: a run that
-// the leader has lost sight of, for whatever reason, would otherwise go on to its end, also
-// when its job is cancelled.
+// Running tasks are reconciled in every report, not only in the first: otherwise a run that
+// the leader has lost track of would continue to its end, even after its job is cancelled.
 void Scheduler::reconcile(Worker& worker, const RunningTask& running)
 {
-    // A successor's, which this leader does not know of yet.
+    // Started by a successor that this leader does not know of yet.
     if (running.run / runs_per_epoch > m_claim.head.epoch)
         return;
     JobRecord* job = find_job(running.task.job);
@@ -36,13 +35,13 @@
         && task->worker == worker.session->id();
     if (placed_here)
         note_progress(*task, running);
-    // What is held though its task is not placed here is a member of a gang that is done,
-    // or was told to stop: its end is on its way.
+    // A run that is charged here although its task is not placed here belongs to a gang
+    // that is done, or has been told to stop: its end will be reported.
     else if (!open || !worker.load.holds(running.task, running.run))
         stop_unwanted(worker, running);
 }
 
-// Until it has ended, it takes room, and its task is not placed anew beside it.
+// The run occupies capacity until it has ended, and its task is not placed anew until then.
 void Scheduler::stop_unwanted(Worker& worker, const RunningTask& running)
 {
     JobRecord* job = find_job(running.task.job);
@@ -69,7 +68,8 @@
                          closed ? StopReason::job_closed : StopReason::unknown_run);
 }
 
-// Returns whether the task waits, also because the order for it had not been sent yet.
+// Returns whether the task is waiting, which includes a task whose start order was not sent
+// yet and is withdrawn here.
 bool Scheduler::cancel_intent(const TaskId& id, Task& task)
 {
     if (task.phase == TaskPhase::intended) {
--- a/src/jobs.lib/scheduler_reports.cpp
+++ b/src/jobs.lib/scheduler_reports.cpp
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// What a scheduler makes of its workers' reports.
+/// Processing of worker reports.
 
 #include "scheduler.h"
 
@@ -16,22 +16,22 @@
 
 namespace {
 
-/// A worker with so many surprises in a row is left alone for a while: failures of
-/// different jobs, and refusals.
-constexpr int most_surprises = 2;
-/// A step that has failed on so many workers is taken to fail by its own fault.
-constexpr size_t workers_of_own_fault = 2;
-/// At most one in so many workers is left alone at a time: when more seem to fail, it is
-/// the tasks that do, and the others would stand.
+/// A worker with this many faults in a row, which are failures of different jobs and
+/// refusals, is avoided for a while.
+constexpr int max_consecutive_faults = 2;
+/// A step that has failed on this many workers is considered the cause of its failures.
+constexpr size_t failed_workers_for_step_fault = 2;
+/// At most one in this many workers is avoided at a time. If more seem to fail, the tasks
+/// are the cause, and avoiding their workers would block the others.
 constexpr size_t avoided_fraction = 4;
 constexpr Millis avoid_time { 3000 };
-/// Weights of a run in what is learned of its queue's guesses and its worker's speed.
-constexpr double guess_learning = 0.03;
-constexpr double speed_learning = 0.08;
-/// Bounds of what one run can tell, as logarithms.
-constexpr double most_slowness = 1.0;
-/// A worker is slow from here on: about an eighth slower than the others.
-constexpr double slow_worker = 0.12;
+/// Weights of a single run in the queue's mean estimate error and in the worker's speed.
+constexpr double estimate_learning_rate = 0.03;
+constexpr double speed_learning_rate = 0.08;
+/// Limit on what a single run can contribute, as a logarithm.
+constexpr double max_slowness = 1.0;
+/// Slowness from which a worker counts as slow: about an eighth slower than the others.
+constexpr double min_slowness = 0.12;
 
 } // namespace
 
@@ -44,16 +44,16 @@
     const bool first = stage != ReportStage::subsequent;
     note_answered(session);
     std::set<std::string> changed;
-    // All of them are gone before the first is applied: it may close the job, and what has
-    // ended is not told to stop.
+    // All ended runs are removed before the first end is applied: that may close the job,
+    // and ended runs must not be told to stop.
     for (const EndedTask& end : report.ended)
         vacate(*worker, end.task, end.run);
     for (const EndedTask& end : report.ended) {
         if (apply_end(*worker, end, first))
             changed.insert(end.task.job);
     }
-    // What runs is looked at after what has ended before it. A first report in parts names
-    // it in each.
+    // Running tasks are processed after the ends that precede them. A first report in
+    // several parts lists them in each part.
     for (const RunningTask& running : report.running) {
         if (!first)
             reconcile(*worker, running);
@@ -73,9 +73,9 @@
     }
 }
 
-// The worker may forget the ends once all that follows from them is in the store. An end
-// that changed nothing, such as that of a further member of a gang, waits for what is on
-// its way there for its job.
+// Lets the worker discard the ends once all their effects are in the store. An end without
+// effect, such as that of another member of a gang, waits for the pending writes of its
+// job.
 void Scheduler::record_ends(Worker& worker, const PollReport& report,
                             const std::set<std::string>& changed)
 {
@@ -84,12 +84,12 @@
     auto batch = std::make_shared<EndBatch>();
     batch->last_number = report.ended.back().number;
     worker.batches.push_back(batch);
-    std::set<std::string> touched;
+    std::set<std::string> reported_jobs;
     for (const EndedTask& end : report.ended)
-        touched.insert(end.task.job);
-    // Held open until all jobs have been counted.
+        reported_jobs.insert(end.task.job);
+    // Kept open until all jobs have been counted.
     batch->open = 1;
-    for (const std::string& id : touched) {
+    for (const std::string& id : reported_jobs) {
         ++batch->open;
         const auto done = m_lifetime.wrap([this, worker = worker.session->id(), batch] {
             --batch->open;
@@ -107,20 +107,20 @@
     batch_recorded(worker.session->id(), batch);
 }
 
-// A task that runs when the first report comes was started by an earlier leader.
+// A task that is running in the first report was started by an earlier leader.
 void Scheduler::adopt(Worker& worker, const RunningTask& running)
 {
     JobRecord* job = find_job(running.task.job);
     Task* task = job == nullptr ? nullptr : job->task(running.task);
-    // A member of a gang is tried at one worker after the other under the same run.
+    // A member of a gang may be tried on several workers under the same run id.
     const bool expected = task != nullptr && task->phase == TaskPhase::in_doubt
         && (task->worker == worker.session->id() || running.run >= task->run);
-    // An order that preceded its record.
-    const bool untold = task != nullptr && task->phase == TaskPhase::waiting;
+    // Its order preceded its record.
+    const bool unrecorded = task != nullptr && task->phase == TaskPhase::waiting;
     Step* step
         = job == nullptr ? nullptr : job->step(running.task.repeat, running.task.step);
     occupy_unexpected(worker, running);
-    if (step == nullptr || task == nullptr || job->closed() || !(expected || untold)) {
+    if (step == nullptr || task == nullptr || job->closed() || !(expected || unrecorded)) {
         log_event(
             LogLevel::info, "stray_run_stopped",
             { { "task", running.task.to_string() }, { "worker", worker.session->id() } });
@@ -140,7 +140,7 @@
     task->placed_at = now;
     task->ordered_at = now;
     task->adopted = true;
-    // A start that was taken for lost with another life has come about.
+    // A start thought lost with another incarnation has taken place.
     task->crashes.retract(running.run);
     if (task->crashes.suspicion() != Suspicion::none)
         track_suspect(worker, running.task);
@@ -164,7 +164,7 @@
         note_progress(*task, running);
 }
 
-// Of a task that its worker lists.
+// Updates a task that its worker has listed.
 void Scheduler::note_progress(Task& task, const RunningTask& running)
 {
     if (!running.checkpoint.empty())
@@ -178,16 +178,16 @@
     task.percent_at = now;
 }
 
-// Tasks that were intended for the worker and are not there: the order did not arrive, and
-// the fence keeps it from arriving.
+// Releases tasks that were intended for the worker but are not there: the order did not
+// arrive, and the fence prevents it from arriving later.
 void Scheduler::release_missing(const Worker& worker)
 {
     const std::string& id = worker.session->id();
-    const auto doubts = m_in_doubt.find(id);
-    if (doubts == m_in_doubt.end())
+    const auto in_doubt_tasks = m_in_doubt.find(id);
+    if (in_doubt_tasks == m_in_doubt.end())
         return;
-    release_in_doubt(id, doubts->second);
-    m_in_doubt.erase(doubts);
+    release_in_doubt(id, in_doubt_tasks->second);
+    m_in_doubt.erase(in_doubt_tasks);
 }
 
 void Scheduler::release_in_doubt(const std::string& worker,
@@ -201,7 +201,8 @@
     }
 }
 
-// An end that an earlier leader did not record, of a run that it did not record either.
+// Returns whether this is the end of a run of which an earlier leader recorded neither the
+// end nor the start.
 bool Scheduler::is_unrecorded_end(const Task& task, const EndedTask& end)
 {
     if (task.phase == TaskPhase::done || end.run <= task.ended_run)
@@ -211,8 +212,8 @@
     return task.phase == TaskPhase::in_doubt && end.run > task.run;
 }
 
-// A run that was taken for lapsed and has done its work all the same: its task is not to
-// run again. A gang that is placed anew is left alone.
+// Returns whether a run that was considered lapsed has completed after all, so that its
+// task need not run again. A gang that has been placed anew is left alone.
 bool Scheduler::is_late_success(const Step& step, const EndedTask& end)
 {
     return end.kind == EndKind::done && !step.spec->long_running
@@ -228,7 +229,7 @@
     Task* task = job == nullptr ? nullptr : job->task(end.task);
     const bool placed_here = task != nullptr && task->placed()
         && task->worker == worker.session->id() && task->run == end.run;
-    const bool ours
+    const bool counted
         = placed_here || (first && task != nullptr && is_unrecorded_end(*task, end));
     log_event(LogLevel::info, "task_ended",
               { { "job", end.task.job },
@@ -237,19 +238,20 @@
                 { "worker", worker.session->id() },
                 { "how", to_string(end.kind) },
                 { "number", end.number },
-                { "counts", ours ? "yes" : "no" } });
+                { "counts", counted ? "yes" : "no" } });
     Step* found = job == nullptr ? nullptr : job->step(end.task.repeat, end.task.step);
-    if (!ours && task != nullptr && is_late_success(*found, end)
+    if (!counted && task != nullptr && is_late_success(*found, end)
         && cancel_intent(end.task, *task)) {
         apply_done(*job, *found, *task);
         after_step_change(*job, *found);
         return true;
     }
-    if (!ours) {
-        // The failure of an earlier run, not recorded, of a task that runs again elsewhere.
-        const bool untold_failure = first && task != nullptr && end.kind == EndKind::failed
-            && task->phase != TaskPhase::done && end.run < task->run;
-        if (!untold_failure || !count_failure(*job, *found, *task, end.run))
+    if (!counted) {
+        // An unrecorded failure of an earlier run, of a task that runs again elsewhere.
+        const bool unrecorded_failure = first && task != nullptr
+            && end.kind == EndKind::failed && task->phase != TaskPhase::done
+            && end.run < task->run;
+        if (!unrecorded_failure || !count_failure(*job, *found, *task, end.run))
             return false;
         after_step_change(*job, *found);
         return true;
@@ -285,7 +287,7 @@
         ++step.done;
         return;
     }
-    // One such end stands for all members of the gang.
+    // The end of one member stands for the whole gang.
     for (Task& member : step.tasks) {
         release(member);
         member.phase = TaskPhase::done;
@@ -304,13 +306,13 @@
         task.crashes.note_harmless_failure();
     release(task);
     step.failed_workers.insert(worker.session->id());
-    // What fails on several workers fails by its own fault.
-    if (step.failed_workers.size() < workers_of_own_fault)
+    // A step that fails on several workers is itself the cause.
+    if (step.failed_workers.size() < failed_workers_for_step_fault)
         note_fault(worker, job.id());
     count_failure(job, step, task, end.run);
 }
 
-// Each run counts once, also when its end is reported to one leader after another.
+// Each run counts once, even if its end is reported to several leaders.
 bool Scheduler::count_failure(JobRecord& job, Step& step, Task& task, int64_t run)
 {
     if (step.spec->long_running)
@@ -324,8 +326,8 @@
     return true;
 }
 
-// Submitters' guesses are off, each queue's in its own way, so a run is compared with what
-// its queue's guesses usually mean.
+// Submitters' estimates are inaccurate in a way that is typical of each queue, so a run is
+// compared with the queue's mean error.
 void Scheduler::learn_speed(Worker& worker, const JobRecord& job, const Step& step,
                             const Task& task)
 {
@@ -336,17 +338,17 @@
     if (!comparable)
         return;
     const double error = std::log(double(took.count()) / double(step.spec->expected_ms));
-    double& usual
+    double& typical
         = m_estimate_error.try_emplace(job.accepted().queue.name, error).first->second;
-    usual += guess_learning * (error - usual);
-    const double against_others = std::clamp(error - usual, -most_slowness, most_slowness);
-    worker.slowness += speed_learning * (against_others - worker.slowness);
+    typical += estimate_learning_rate * (error - typical);
+    const double against_others = std::clamp(error - typical, -max_slowness, max_slowness);
+    worker.slowness += speed_learning_rate * (against_others - worker.slowness);
 }
 
-// Only urgent work is kept from slow workers; the rest has to use them.
+// Only urgent work avoids slow workers; all other work has to use them.
 bool Scheduler::is_slow(const Worker& worker) const
 {
-    return uses(Mechanism::slow_workers) && worker.slowness > slow_worker;
+    return uses(Mechanism::slow_workers) && worker.slowness > min_slowness;
 }
 
 void Scheduler::note_fault(Worker& worker, const std::string& job)
@@ -357,8 +359,8 @@
     count_fault(worker);
 }
 
-// Starts that were chosen before a refusal was known are one surprise with it. Another one
-// counts, also of the same job: no job makes a worker refuse.
+// Starts chosen before a refusal was known count as one fault together with it. A later
+// refusal counts again, even for the same job: a job does not cause a worker to refuse.
 void Scheduler::note_refusal(Worker& worker, Millis chosen_at)
 {
     if (chosen_at <= worker.refused_at)
@@ -367,7 +369,7 @@
     count_fault(worker);
 }
 
-// Returns whether so many others are left alone that this one is not.
+// Returns whether so many other workers are avoided that this one must not be.
 bool Scheduler::avoidance_limit_reached(const Worker& worker) const
 {
     const Millis now = m_context.loop.now();
@@ -382,8 +384,8 @@
 
 void Scheduler::count_fault(Worker& worker)
 {
-    if (++worker.consecutive_faults < most_surprises || avoidance_limit_reached(worker)
-        || !uses(Mechanism::avoided_workers))
+    if (++worker.consecutive_faults < max_consecutive_faults
+        || avoidance_limit_reached(worker) || !uses(Mechanism::avoided_workers))
         return;
     worker.avoid_until = m_context.loop.now() + avoid_time;
     log_event(
--- a/src/jobs.lib/scheduler_silent.cpp
+++ b/src/jobs.lib/scheduler_silent.cpp
@@ -2,9 +2,9 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Workers that are silent. The head row tells the next leader when their last leases end,
-/// so that it does not count the longest lease anew from its own claim; until the row
-/// leaves a worker out, nothing is leased to it.
+/// Silent workers. The head row tells the next leader when their last leases end, so that
+/// it does not wait for the longest possible lease from its own claim on. A worker gets no
+/// lease as long as the row names it.
 
 #include "scheduler.h"
 
@@ -13,10 +13,10 @@
 namespace pathport::jobs {
 
 namespace {
-/// A worker without a session is named for so long after its leases have ended: by then the
-/// tasks that the rows of jobs still put there have been placed anew, or stand for want of
-/// room in a full cell.
-constexpr int64_t remembered_ms = 60000;
+/// A worker without a session is named for this long after its leases have ended. By then
+/// the tasks that job rows still assign to it have been placed anew, or are waiting for
+/// capacity in a full cell.
+constexpr int64_t retention_ms = 60000;
 } // namespace
 
 bool Scheduler::store_clock_known() const
@@ -24,16 +24,16 @@
     return m_context.store_clock != nullptr && m_context.store_clock->known();
 }
 
-// Returns when all that earlier leaders leased to the worker has ended. None of them
+// Returns when all leases that earlier leaders gave to the worker have ended. None of them
 // renewed a lease there while the head row named the worker, so the time in that row holds
-// for this leader as well. Counted anew from each claim, tasks stood for 8.8 s more a
-// leader.
+// for this leader as well. Restarting the wait at each claim delayed tasks by another 8.8 s
+// per leader.
 Millis Scheduler::earlier_leases_until(const std::string& worker) const
 {
-    const auto over = m_silent_workers.lease_end_ms(worker);
-    if (!over || !store_clock_known())
+    const auto lease_end = m_silent_workers.lease_end_ms(worker);
+    if (!lease_end || !store_clock_known())
         return m_earlier_leases_until;
-    return std::min(m_earlier_leases_until, m_context.store_clock->reached_by(*over));
+    return std::min(m_earlier_leases_until, m_context.store_clock->reached_by(*lease_end));
 }
 
 bool Scheduler::may_renew_lease(const WorkerSession& session) const
@@ -46,7 +46,8 @@
     m_log.write_soon();
 }
 
-// The worker has answered under this leader's fence: its session knows all leases since.
+// The worker has answered under this leader's fence, so its session knows all leases given
+// since.
 void Scheduler::note_answered(const WorkerSession& session)
 {
     m_silent_workers.erase(session.id());
@@ -57,26 +58,27 @@
     m_log.write_soon();
 }
 
-void Scheduler::note_session_end(const WorkerSession& session, Millis lapses_at)
+void Scheduler::note_session_end(const WorkerSession& session, Millis expires_at)
 {
     if (!store_clock_known())
         return;
-    const int64_t over = m_context.store_clock->latest_at(lapses_at);
+    const int64_t lease_end = m_context.store_clock->latest_at(expires_at);
     const auto known = m_silent_workers.lease_end_ms(session.id());
-    m_silent_workers.set(session.id(), known ? std::min(*known, over) : over);
+    m_silent_workers.set(session.id(), known ? std::min(*known, lease_end) : lease_end);
 }
 
-// Workers that are not listed, and at which an earlier leader may have left tasks, can't be
-// looked at; the next leader is not to count anew for them either.
+// Workers that are not listed, and on which an earlier leader may have left tasks, cannot
+// be polled. They are named as well, so that the next leader does not restart the wait for
+// them.
 void Scheduler::note_unlisted()
 {
     if (!m_workers_known || m_context.loop.now() >= m_earlier_leases_until)
         return;
-    const int64_t over = m_context.store_clock->latest_at(m_earlier_leases_until);
+    const int64_t lease_end = m_context.store_clock->latest_at(m_earlier_leases_until);
     const auto note = [&](const std::string& worker) {
         const bool known = m_workers.count(worker) > 0 || m_silent_workers.contains(worker);
         if (!known && worker != any_worker)
-            m_silent_workers.set(worker, over);
+            m_silent_workers.set(worker, lease_end);
     };
     for (const auto& [worker, tasks] : m_in_doubt)
         note(worker);
@@ -91,9 +93,9 @@
     note_unlisted();
     const StoreClock& clock = *m_context.store_clock;
     const Millis now = m_context.loop.now();
-    // Until then this leader goes by them itself.
+    // Until then this leader uses the entries itself.
     if (now >= m_earlier_leases_until)
-        m_silent_workers.erase_before(clock.latest_at(now) - remembered_ms);
+        m_silent_workers.erase_before(clock.latest_at(now) - retention_ms);
     SilentWorkers silent = m_silent_workers;
     for (const auto& [id, worker] : m_workers) {
         if (worker.session->silent() && !silent.contains(id))
@@ -111,7 +113,7 @@
         if (worker == nullptr || worker->session->silent())
             continue;
         if (!m_log.may_lease(id)) {
-            // The write was on its way when the worker answered.
+            // The write was in progress when the worker answered.
             m_awaiting_lease.insert(id);
             m_log.write_soon();
             continue;
--- a/src/jobs.lib/scheduler_start.cpp
+++ b/src/jobs.lib/scheduler_start.cpp
@@ -2,8 +2,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Starts. A choice of workers is recorded before the orders are sent, so that a successor
-/// knows where each task may run.
+/// Task starts. The choice of workers is recorded before the orders are sent, so that a
+/// successor knows where each task may be running.
 
 #include "scheduler.h"
 
@@ -13,32 +13,32 @@
 
 namespace {
 
-// Returns whether a start came to nothing for a reason that lies with the worker or the way
-// to it: fences and tickets are the leader's own.
-bool lies_with_worker(OrderStatus status)
+// Returns whether the cause of a failed start is the worker or the connection to it. Fences
+// and tickets are the leader's responsibility.
+bool is_worker_fault(OrderStatus status)
 {
     return status != OrderStatus::stale_fence && status != OrderStatus::bad_ticket;
 }
 
-/// Returns whether the row that tells of a start may come after it. What is held against
-/// a task has to outlive the leader before it is tried again.
+/// Returns whether the start order may be sent before its row is written. What is recorded
+/// against a task has to outlive the leader before the task is tried again.
 bool may_precede_its_record(const Task& task)
 {
     return task.crashes.empty();
 }
 
-// Returns whether the worker gave an answer. A lost one tells nothing against it: a cut
-// loses those of many workers at once.
+// Returns whether the worker answered. A lost answer is not held against it: a network
+// partition loses those of many workers at once.
 bool is_refusal(OrderStatus status)
 {
-    return lies_with_worker(status) && status != OrderStatus::unknown;
+    return is_worker_fault(status) && status != OrderStatus::unknown;
 }
 
 } // namespace
 
-// Gives the tasks, by their numbers, to the workers of the shares.
+// Assigns the tasks with these indices to the workers and records the assignment.
 void Scheduler::record_intent(JobRecord& job, Step& step, const std::vector<size_t>& tasks,
-                              const std::vector<Assignment>& shares)
+                              const std::vector<Assignment>& assignments)
 {
     step.idle_since = Millis(0);
     const bool refill = step.spec->gang && step.placed() > 0;
@@ -47,22 +47,22 @@
     step.reserved_workers.clear();
     const int64_t run = refill ? step.gang_run : ++m_last_run;
     step.gang_run = run;
-    const bool wary = step.is_suspect();
-    auto share = shares.begin();
-    int left = share->count;
+    const bool step_suspect = step.is_suspect();
+    auto assignment = assignments.begin();
+    int left = assignment->count;
     for (const size_t i : tasks) {
         Task& task = step.tasks[i];
         while (left == 0) {
-            if (++share == shares.end())
+            if (++assignment == assignments.end())
                 break;
-            left = share->count;
+            left = assignment->count;
         }
-        if (share == shares.end())
+        if (assignment == assignments.end())
             break;
         --left;
-        Worker& worker = *find_worker(share->worker);
+        Worker& worker = *find_worker(assignment->worker);
         task.phase = TaskPhase::intended;
-        task.worker = share->worker;
+        task.worker = assignment->worker;
         task.run = run;
         task.placed_at = m_pass_begun;
         task.adopted = false;
@@ -72,22 +72,22 @@
         const TaskId id { job.id(), step.repeat, step.index, static_cast<int>(i) };
         worker.last_start = m_pass_begun;
         task.crashes.note_start();
-        if (Step::suspicion(task, wary) != Suspicion::none)
+        if (Step::suspicion(task, step_suspect) != Suspicion::none)
             track_suspect(worker, id);
         occupy(worker, id, run, *step.spec, &job);
     }
     record(job, [this, id = job.id(), repeat = step.repeat, index = step.index, run] {
         send_orders(id, repeat, index, run, true);
     });
-    // The store is slow, and the head row says that orders may precede their record. Not so
-    // once this leader has resigned: its successor may have claimed already, and does not
-    // know jobs that came after its load.
+    // The store is slow, and the head row says that orders may precede their record. This
+    // does not hold once this leader has resigned: its successor may already have claimed
+    // the leadership and does not know jobs that came after its load.
     if (m_log.allows_early_orders() && !m_resigned)
         send_orders(job.id(), step.repeat, step.index, run, false);
 }
 
-// What was intended before the head row said that orders may precede their records needs
-// not wait for its own record any more.
+// Tasks intended before the head row said that orders may precede their record need not
+// wait for their own record any more.
 void Scheduler::early_orders_enabled()
 {
     if (m_resigned)
@@ -106,8 +106,8 @@
     }
 }
 
-// Sends the orders of a run. Until it is recorded only those to workers that the head row
-// names.
+// Sends the orders of a run. Until the run is recorded, only orders to workers that the
+// head row names are sent.
 void Scheduler::send_orders(const std::string& id, int repeat, int index, int64_t run,
                             bool recorded)
 {
@@ -132,17 +132,17 @@
     const TaskId id { job.id(), step.repeat, step.index, index };
     Worker* worker = find_worker(task.worker);
     const Millis now = m_context.loop.now();
-    bool ticket_good = true;
+    bool ticket_valid = true;
     if (worker != nullptr && job.accepted().queue.advice) {
         const auto permission = step.advice.workers.find(worker->number);
-        ticket_good
+        ticket_valid
             = permission != step.advice.workers.end() && permission->second.holds(now);
     }
-    // The room may have shrunk since it was chosen.
-    const bool has_room = worker != nullptr
+    // The free capacity may have shrunk since the worker was chosen.
+    const bool has_capacity = worker != nullptr
         && worker->load.used().fits_in(worker->session->info().capacity);
-    if (!has_room || job.closed() || !orders_allowed() || !list_is_fresh() || !ticket_good
-        || !is_eligible(*worker, job, step)) {
+    if (!has_capacity || job.closed() || !orders_allowed() || !list_is_fresh()
+        || !ticket_valid || !is_eligible(*worker, job, step)) {
         if (worker != nullptr)
             vacate(*worker, id, task.run);
         task.crashes.note_failed_start();
@@ -152,7 +152,7 @@
     }
     std::string checkpoint = task.checkpoint;
     if (step.spec->gang) {
-        // Every member brings the same one.
+        // All members save the same checkpoint.
         checkpoint.clear();
         for (const Task& member : step.tasks) {
             if (!member.checkpoint.empty()) {
@@ -171,7 +171,7 @@
                            }));
 }
 
-// A job has begun when a worker has begun a task of it; an intent alone doesn't count.
+// A job has begun when a worker has started one of its tasks; an intent does not count.
 void Scheduler::note_begun(JobRecord& job)
 {
     if (job.begun)
@@ -189,7 +189,7 @@
     Worker* worker = find_worker(name);
     JobRecord* job = find_job(id.job);
     Task* task = job == nullptr ? nullptr : job->task(id);
-    const bool present = task != nullptr && task->phase == TaskPhase::starting
+    const bool current = task != nullptr && task->phase == TaskPhase::starting
         && task->run == run && task->worker == name;
     m_context.metrics.count("pathport_starts_total", { { "outcome", to_string(status) } });
     log_event(LogLevel::info, "task_start",
@@ -202,12 +202,12 @@
     if (result == StartResult::not_started) {
         if (worker != nullptr)
             vacate(*worker, id, run);
-        if (!present)
+        if (!current)
             return;
         Step& step = *job->step(id.repeat, id.step);
         if (status == OrderStatus::bad_ticket && worker != nullptr)
             step.advice.workers.erase(worker->number);
-        if (lies_with_worker(status))
+        if (is_worker_fault(status))
             step.deprioritize(name, m_context.loop.now());
         if (is_refusal(status) && worker != nullptr)
             note_refusal(*worker, task->placed_at);
@@ -218,7 +218,7 @@
     }
     if (job != nullptr)
         note_begun(*job);
-    if (present) {
+    if (current) {
         task->phase = TaskPhase::running;
         task->percent = 0;
         task->percent_at = m_context.loop.now();
--- a/src/jobs.lib/scheduler_tick.cpp
+++ b/src/jobs.lib/scheduler_tick.cpp
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// What a scheduler looks after at regular times.
+/// Periodic checks of the scheduler.
 
 #include "scheduler.h"
 
@@ -14,11 +14,11 @@
 
 constexpr Millis tick_interval = explanation_round_interval;
 constexpr Millis load_interval { 2000 };
-/// A gang of which a member is missing is stopped so long before its members give up: a
-/// tick, the order and its repetition.
+/// A gang with a missing member is stopped this long before its members give up, which
+/// covers a tick, the order and its retry.
 constexpr Millis gang_margin { 700 };
-/// A task whose progress has not moved for so long stands still.
-constexpr Millis standing_time { 2600 };
+/// A task without progress for this long is considered stalled.
+constexpr Millis stall_time { 2600 };
 constexpr int all_done_percent = 100;
 
 } // namespace
@@ -28,10 +28,11 @@
     if (m_phase == Phase::terminated)
         return;
     if (m_phase == Phase::scheduling && orders_allowed()) {
-        release_expired_doubts();
+        release_expired_in_doubt();
         drop_deferred_ends();
         m_explanations.begin_round(m_steps_waiting);
-        // Read once: a reading for each step would cost more than most of the checks.
+        // Read once: reading the clock for each step would take longer than most of the
+        // checks.
         const Millis now = m_context.loop.now();
         for (auto& [id, job] : m_jobs) {
             if (job->closed())
@@ -41,7 +42,7 @@
                 for (Step& step : repeat.steps) {
                     check_gang(*job, step, now);
                     check_stalled(*job, step, now);
-                    leave_draining(*job, step);
+                    stop_on_draining(*job, step);
                     check_listed(*job, step);
                     log_wait_reason(*job, step, now);
                 }
@@ -55,7 +56,7 @@
     m_context.loop.after(tick_interval, m_lifetime.wrap([this] { tick(); }));
 }
 
-// One line every few seconds on how full the workers are and what waits.
+// Logs the load of the workers and the waiting work every few seconds.
 void Scheduler::report_load()
 {
     const Millis now = m_context.loop.now();
@@ -105,15 +106,16 @@
     m_load_counts = LoadCounts();
 }
 
-// Members that wait for one that could not be placed are stopped and placed anew together.
+// Stops members that wait for one that could not be placed, so that all are placed anew
+// together.
 void Scheduler::check_gang(JobRecord& job, Step& step, Millis now)
 {
     if (!step.spec->gang || step.count(TaskPhase::waiting) == 0)
         return;
-    const Millis patience = m_context.bounds.gang_timeout - gang_margin;
+    const Millis timeout = m_context.bounds.gang_timeout - gang_margin;
     for (size_t i = 0; i < step.tasks.size(); ++i) {
         Task& task = step.tasks[i];
-        if (task.phase != TaskPhase::running || now - task.placed_at < patience)
+        if (task.phase != TaskPhase::running || now - task.placed_at < timeout)
             continue;
         Worker* worker = find_worker(task.worker);
         if (worker == nullptr)
@@ -130,11 +132,11 @@
         return;
     for (size_t i = 0; i < step.tasks.size(); ++i) {
         Task& task = step.tasks[i];
-        // A gang's member that has done its work waits for the others.
-        const bool works
+        // A member that has finished its work waits for the others.
+        const bool working
             = task.phase == TaskPhase::running && task.percent < all_done_percent;
-        if (!works || now - task.percent_at < standing_time
-            || now - task.placed_at < standing_time)
+        if (!working || now - task.percent_at < stall_time
+            || now - task.placed_at < stall_time)
             continue;
         Worker* worker = find_worker(task.worker);
         if (worker == nullptr || !worker->session->usable())
@@ -153,8 +155,8 @@
     }
 }
 
-// A lasting task makes no progress by which one could see that it stands. One that the
-// report of a later look doesn't list has gone without a listed end; the stop makes sure.
+// A long-running task reports no progress that could show a stall. One that is missing from
+// a later report has ended without a listed end; the stop makes sure of that.
 void Scheduler::check_listed(JobRecord& job, Step& step)
 {
     if (!step.spec->long_running)
@@ -171,8 +173,8 @@
     }
 }
 
-// Lasting tasks leave a draining worker at once, since they can't end before it does.
-void Scheduler::leave_draining(JobRecord& job, Step& step)
+// Long-running tasks leave a draining worker at once, since they cannot end before it does.
+void Scheduler::stop_on_draining(JobRecord& job, Step& step)
 {
     if (!step.spec->long_running)
         return;
