--- a/src/jobs.lib/scheduler_worker_lifecycle.cpp
+++ b/src/jobs.lib/scheduler_worker_lifecycle.cpp
@@ -2,8 +2,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Lives of workers: how they come and go with the list, and what becomes of the tasks of
-/// one that is over.
+/// Worker incarnations: how they appear in and disappear from the worker list, and what
+/// happens to the tasks of one that has ended.
 
 #include "scheduler.h"
 
@@ -15,9 +15,9 @@
 
 namespace {
 
-/// So long an order may be on its way that nobody has answered: as its sender waits at most
-/// (most_answer_time).
-constexpr Millis order_way { 400 };
+/// Maximum time that an unanswered order may be in transit, which is how long the worker
+/// session waits for its answer at most.
+constexpr Millis max_order_transit { 400 };
 
 } // namespace
 
@@ -26,21 +26,22 @@
     end_replaced(listed);
     std::set<std::string> present;
     for (const WorkerInfo& info : listed) {
-        // The list may be behind what the next life has answered itself.
+        // The list may lag behind what the next incarnation has answered itself.
         if (m_ended_incarnations.count(info.id) > 0)
             continue;
-        // Another writer's entry is no worker: a call to it would go to a stranger.
+        // An entry by another writer, for a service that is not in use, is not a worker: a
+        // call to it would reach an unrelated process.
         if (m_workers.count(info.id) == 0 && !is_used(info.service))
             continue;
         present.insert(info.id);
         update_worker(info);
     }
-    std::vector<std::string> gone;
+    std::vector<std::string> unlisted;
     for (auto& [id, worker] : m_workers) {
         if (present.count(id) == 0)
-            gone.push_back(id);
+            unlisted.push_back(id);
     }
-    for (const std::string& id : gone)
+    for (const std::string& id : unlisted)
         drop_unlisted(id);
     schedule_pass();
 }
@@ -72,13 +73,14 @@
         worker.session->start_polling();
 }
 
-// A worker has one life at a time: those of which the list names another one are over.
+// A worker has one incarnation at a time: those for whose worker the list contains another
+// one have ended.
 void Scheduler::end_replaced(const std::vector<WorkerInfo>& listed)
 {
     std::set<std::string> ids;
     for (const WorkerInfo& info : listed)
         ids.insert(info.id);
-    // What the list names no more won't come back.
+    // Incarnations that are no longer listed do not return.
     for (auto ended = m_ended_incarnations.begin(); ended != m_ended_incarnations.end();)
         ended
             = ids.count(*ended) == 0 ? m_ended_incarnations.erase(ended) : std::next(ended);
@@ -100,8 +102,8 @@
     }
 }
 
-// A worker that has gone from the list may still run what it was given: it is forgotten
-// only when nothing is placed there.
+// A worker that is no longer listed may still run its tasks, so it is removed only when
+// nothing is placed there.
 void Scheduler::drop_unlisted(const std::string& id)
 {
     Worker& worker = m_workers[id];
@@ -115,12 +117,12 @@
         end_session(worker);
 }
 
-// The worker may be listed again, and refuses fences below the highest that it has seen.
-// Its next life has seen none: what was sent to this one is void there only below its
-// fence.
+// The worker may be listed again, and refuses fences below the highest one that it has
+// seen. Its next incarnation has seen none, so only a higher fence invalidates there what
+// was sent to this one.
 void Scheduler::end_session(Worker& worker)
 {
-    // The session may be in a call of its own.
+    // The session may be the caller.
     std::shared_ptr<WorkerSession> ended(std::move(worker.session));
     if (ended->silent() && !ended->replaced())
         note_session_end(*ended, ended->lease_expires_at());
@@ -131,9 +133,9 @@
     m_context.loop.after(Millis(0), [ended] {});
 }
 
-// All that was placed on the worker is placed anew, but for what is in doubt there if
-// `keep_doubts`.
-void Scheduler::release_tasks(Worker& worker, const char* reason, bool keep_doubts)
+// Returns all tasks placed on the worker to the waiting state, except those in doubt there
+// if `keep_doubts`.
+void Scheduler::release_tasks(Worker& worker, const char* reason, bool keep_in_doubt)
 {
     int64_t released = 0;
     discharge_all(worker);
@@ -145,10 +147,10 @@
         for (auto& [number, repeat] : job->repeats()) {
             for (Step& step : repeat.steps) {
                 for (Task& task : step.tasks) {
-                    const bool kept = keep_doubts && task.phase == TaskPhase::in_doubt;
+                    const bool kept = keep_in_doubt && task.phase == TaskPhase::in_doubt;
                     if (!task.placed() || task.worker != id || kept)
                         continue;
-                    // A member of a gang that may have started can't join its run again.
+                    // A member of a gang that may have started cannot rejoin its run.
                     if (task.phase != TaskPhase::intended)
                         task.ended_run = task.run;
                     release(task);
@@ -173,29 +175,29 @@
         m_ended_incarnations.insert(session.id());
         keep_unconfirmed_starts(session);
     } else {
-        // The rows may name the life on, and the next leader can't ask it.
+        // The rows may still name the incarnation, which the next leader cannot ask.
         note_session_end(session, m_context.loop.now());
         resolve_unrecorded(session.id());
     }
     release_tasks(*worker, reason, session.replaced());
     attribute_lapsed_runs(session.id());
-    // One that had announced its end did not crash.
+    // A worker that had announced its end did not crash.
     if (!session.info().draining)
         attribute_loss(lost, session.id(), reason, Loss::crash);
     end_session(*worker);
     activate_when_ready();
 }
 
-// An order to a life goes to whichever one has its name when it arrives: the next life may
-// have carried out what this leader sent to this one without a report since, and what
-// earlier leaders sent if it has not reported to this one. Placed anew at once, such a task
-// would run twice, so it waits for that life's first report, or until all leases have
-// ended.
+// An order is delivered to whichever incarnation has the worker's name when it arrives. The
+// next incarnation may have received orders that this leader sent without a report since,
+// and those of earlier leaders if the ended one has not reported to this leader. A task
+// placed anew at once would run twice, so it waits for the first report of the next
+// incarnation or for the end of all leases.
 void Scheduler::keep_unconfirmed_starts(const WorkerSession& session)
 {
     const std::string& id = session.id();
     const Millis now = m_context.loop.now();
-    // While the rows are being read, they may yet put tasks there.
+    // While the rows are being read, more tasks of theirs may turn out to be placed there.
     const bool of_earlier_leaders = m_phase == Phase::loading || m_in_doubt.count(id) > 0
         || m_unresolved.count(id) > 0;
     Millis until = of_earlier_leaders ? std::max(now, m_earlier_leases_until) : now;
@@ -213,8 +215,9 @@
     }
     if (kept > 0)
         until = std::max(until,
-                         now + max_local_duration(m_context.bounds.max_lease) + order_way);
-    // The rows may name this life on, and the next leader can't ask it.
+                         now + max_local_duration(m_context.bounds.max_lease)
+                             + max_order_transit);
+    // The rows may still name this incarnation, which the next leader cannot ask.
     if (store_clock_known())
         m_silent_workers.set(id, m_context.store_clock->latest_at(until));
     if (until <= now)
@@ -233,30 +236,30 @@
     return found == m_unconfirmed_until.end() ? Millis(0) : found->second;
 }
 
-// What may run at an earlier life of the worker's name runs at this one or not at all: its
-// first report tells.
+// Tasks that may run on an earlier incarnation of the worker run on this one or not at all,
+// which its first report decides.
 void Scheduler::inherit_from_previous(const std::string& id)
 {
     const std::string name = WorkerIncarnation::parse(id).name;
     const auto is_earlier = [&](const std::string& other) {
         return other != id && WorkerIncarnation::parse(other).name == name;
     };
-    // Ids of lives begin with the name, so they stand together, among those of longer
-    // names.
-    const auto stands_near = [&](const std::string& other) {
+    // Incarnation ids begin with the name, so those of one worker are adjacent, among those
+    // of longer names.
+    const auto has_name_prefix = [&](const std::string& other) {
         return other.compare(0, name.size(), name) == 0;
     };
-    for (auto doubts = m_in_doubt.lower_bound(name);
-         doubts != m_in_doubt.end() && stands_near(doubts->first);) {
-        if (!is_earlier(doubts->first)) {
-            ++doubts;
+    for (auto in_doubt_tasks = m_in_doubt.lower_bound(name);
+         in_doubt_tasks != m_in_doubt.end() && has_name_prefix(in_doubt_tasks->first);) {
+        if (!is_earlier(in_doubt_tasks->first)) {
+            ++in_doubt_tasks;
             continue;
         }
-        inherit_in_doubt(doubts->first, id, doubts->second);
-        doubts = m_in_doubt.erase(doubts);
+        inherit_in_doubt(in_doubt_tasks->first, id, in_doubt_tasks->second);
+        in_doubt_tasks = m_in_doubt.erase(in_doubt_tasks);
     }
     for (auto earlier = m_unresolved.lower_bound(name);
-         earlier != m_unresolved.end() && stands_near(*earlier);) {
+         earlier != m_unresolved.end() && has_name_prefix(*earlier);) {
         if (!is_earlier(*earlier)) {
             ++earlier;
             continue;
@@ -280,8 +283,8 @@
         m_in_doubt[id].push_back(name);
         lost.push_back({ name, task->run, std::nullopt });
     }
-    // What this life does not have went down with the earlier one; what it has is taken
-    // back.
+    // Runs missing from this incarnation were lost with the earlier one; for those it has,
+    // the loss is retracted.
     if (!lost.empty())
         attribute_loss(lost, earlier, "reborn", Loss::crash);
     const Millis until = unconfirmed_until(earlier);
--- a/src/jobs.lib/stuck_step_test.cpp
+++ b/src/jobs.lib/stuck_step_test.cpp
@@ -4,7 +4,7 @@
 /// \file
 /// A step that could run must start within a bounded time, whatever single workers or
 /// single answers of the advisor do. One node schedules; the test scripts the advisor and
-/// the workers' answers to starts.
+/// the workers' answers to start orders.
 
 #define BOOST_TEST_MODULE stuck_step
 #include <boost/test/unit_test.hpp>
@@ -28,7 +28,7 @@
 
 namespace {
 
-/// Passes all orders on, but starts on workers that decline.
+/// Forwards all orders except starts on workers that are set to refuse them.
 class ScriptedWorkers : public WorkerClient {
 public:
     ScriptedWorkers(emulator::WorkerPort& port, EventLoop& loop)
@@ -67,15 +67,16 @@
         m_port.poll(worker, order, timeout, done);
     }
 
-    std::map<std::string, OrderStatus> refusals; ///< Workers that start nothing.
-    std::map<std::string, int> starts; ///< Starts ordered, by worker.
+    /// Workers that refuse all starts, with the status they answer.
+    std::map<std::string, OrderStatus> refusals;
+    std::map<std::string, int> starts; ///< Start orders, by worker.
 
 private:
     emulator::WorkerPort& m_port;
     EventLoop& m_loop;
 };
 
-/// Allows all workers but those named.
+/// Allows all workers except those in `refused`.
 class ScriptedAdvisor : public Advisor {
 public:
     explicit ScriptedAdvisor(EventLoop& loop)
@@ -86,28 +87,28 @@
     void ask(const std::string&, const std::vector<std::string>& workers, Millis,
              std::function<void(std::optional<std::vector<WorkerTicket>>)> done) override
     {
-        ++questions;
+        ++queries;
         std::vector<WorkerTicket> tickets;
         for (const std::string& worker : workers) {
             if (refused.count(WorkerIncarnation::parse(worker).name) == 0)
                 tickets.push_back({ worker, "t" });
         }
-        if (answers_empty > 0) {
-            --answers_empty;
+        if (empty_answers > 0) {
+            --empty_answers;
             tickets.clear();
         }
         m_loop.after(Millis(20), [done, tickets] { done(tickets); });
     }
 
     std::set<std::string> refused;
-    int answers_empty = 0; ///< So many answers to come name no worker.
-    int questions = 0;
+    int empty_answers = 0; ///< Number of coming answers that name no worker.
+    int queries = 0;
 
 private:
     EventLoop& m_loop;
 };
 
-/// A node without peers sends nothing.
+/// Peers of a node that has none: every call is refused.
 class NoPeers : public PeerClient {
 public:
     explicit NoPeers(EventLoop& loop)
@@ -133,7 +134,7 @@
     return facts;
 }
 
-/// One node that leads, and what it works with. Queue 0 has no advice, queue 1 has.
+/// One leading node and its dependencies. Queue 0 has no advice, queue 1 has.
 struct Site {
     Site(int worker_count, int plain_priority, int advised_priority)
     {
@@ -218,7 +219,7 @@
     ScriptedAdvisor advisor { loop };
     NoPeers peers { loop };
     Metrics metrics;
-    std::set<std::string> unlisted; ///< Workers that the list leaves out.
+    std::set<std::string> unlisted; ///< Workers missing from the list.
     std::unique_ptr<JobNode> node;
 };
 
@@ -231,24 +232,24 @@
 };
 
 constexpr Millis long_enough { 20000 };
-/// A worker that refuses starts may be tried again, but not all the time.
-constexpr int most_refused_starts = 40;
-/// Nor may the advisor be asked all the time about workers that it refuses.
-constexpr int most_questions_in_vain = 10;
+/// A worker that refuses starts may be retried occasionally, not continuously.
+constexpr int max_refused_starts = 40;
+/// The same holds for queries about refused workers.
+constexpr int max_futile_queries = 10;
 
-/// Has the worker that is the first choice refuse all starts, and checks that a task starts
-/// elsewhere.
+/// Makes the worker that is the first choice refuse all starts and checks that a task
+/// starts elsewhere.
 void check_refused_starts(OrderStatus refusal, int queue)
 {
     Site site(3, 2, 2);
-    // The fullest worker that has room is the first choice.
+    // The fullest worker with enough capacity is the first choice.
     site.submit("job0", 0, facts_of(1, 60000, 4000), "r1-1");
     site.world.run_for(Millis(500));
     site.workers.refusals["w1"] = refusal;
     site.submit("job1", queue, facts_of(1, 500, 450));
     site.world.run_for(long_enough);
     BOOST_TEST(site.done("job1", 1), to_string(refusal) << ", queue " << queue);
-    BOOST_TEST(site.workers.starts["w1"] <= most_refused_starts,
+    BOOST_TEST(site.workers.starts["w1"] <= max_refused_starts,
                to_string(refusal) << ", queue " << queue << ": "
                                   << site.workers.starts["w1"] << " starts");
 }
@@ -257,17 +258,17 @@
 
 BOOST_TEST_GLOBAL_FIXTURE(LogFixture);
 
-// A worker that declines all starts was chosen for the same task again and again: refusals
-// of one job at one worker count once, so the worker is not avoided.
-BOOST_AUTO_TEST_CASE(worker_that_declines_all_starts_holds_up_no_task)
+// Guards against choosing a worker that declines all starts for the same task over and
+// over: refusals of one job by one worker count once, so the worker is not avoided.
+BOOST_AUTO_TEST_CASE(worker_that_declines_all_starts_delays_no_task)
 {
     for (const int queue : { 0, 1 })
         check_refused_starts(OrderStatus::declined, queue);
 }
 
-// The same with refusals that the leader's books should rule out. A fault in the books must
-// not hold up a task for ever either.
-BOOST_AUTO_TEST_CASE(worker_that_refuses_for_other_reasons_holds_up_no_task)
+// The same with refusals that the leader's accounting should rule out. An error in the
+// accounting must not block a task forever either.
+BOOST_AUTO_TEST_CASE(worker_that_refuses_for_other_reasons_delays_no_task)
 {
     for (const OrderStatus refusal :
          { OrderStatus::no_room, OrderStatus::too_late, OrderStatus::old_run }) {
@@ -276,15 +277,15 @@
     }
 }
 
-// A worker that refuses all starts and is the only one is tried at times, not all the time.
-BOOST_AUTO_TEST_CASE(only_worker_is_tried_at_times_until_it_starts_tasks)
+// If the only worker refuses all starts, it is retried occasionally, not continuously.
+BOOST_AUTO_TEST_CASE(only_worker_is_retried_until_it_starts_tasks)
 {
     for (const int queue : { 0, 1 }) {
         Site site(1, 2, 2);
         site.workers.refusals["w1"] = OrderStatus::declined;
         site.submit("job1", queue, facts_of(3, 500, 450));
         site.world.run_for(long_enough);
-        BOOST_TEST(site.workers.starts["w1"] <= most_refused_starts,
+        BOOST_TEST(site.workers.starts["w1"] <= max_refused_starts,
                    "queue " << queue << ": " << site.workers.starts["w1"] << " starts");
         site.workers.refusals.clear();
         site.world.run_for(long_enough);
@@ -292,29 +293,29 @@
     }
 }
 
-// A ticket that is rejected is asked for anew. The worker gives way to others meanwhile.
-BOOST_AUTO_TEST_CASE(worker_that_rejects_all_tickets_holds_up_no_task)
+// A rejected ticket is requested anew. Meanwhile other workers are preferred to this one.
+BOOST_AUTO_TEST_CASE(worker_that_rejects_all_tickets_delays_no_task)
 {
     check_refused_starts(OrderStatus::bad_ticket, 1);
 }
 
-// An answer that lacks a worker says nothing for good about a worker that was allowed
-// before: its life may have been unknown to the advisor for a moment.
+// A worker missing from an answer is not refused for good if it was allowed before: the
+// advisor may have been unaware of its incarnation for a moment.
 BOOST_AUTO_TEST_CASE(allowed_workers_stay_allowed_after_an_empty_answer)
 {
     Site site(6, 2, 2);
     StepModel facts = facts_of(15, 3000, 450);
     facts.failing_runs = 1;
     site.submit("job1", 1, facts);
-    // All tasks fail at about the same time, when their tickets have run out.
+    // All tasks fail at about the same time, after their tickets have expired.
     site.world.run_for(Millis(1500));
-    site.advisor.answers_empty = 4;
+    site.advisor.empty_answers = 4;
     site.world.run_for(long_enough);
     BOOST_TEST(site.done("job1", 15));
 }
 
-// A refusal may be one of a moment too, and no other worker has room: it is asked about
-// again, but not all the time.
+// A refusal may be temporary. If no other worker has capacity, the refused ones are asked
+// about again, but not continuously.
 BOOST_AUTO_TEST_CASE(refused_workers_are_asked_about_again)
 {
     for (const bool gang : { false, true }) {
@@ -324,18 +325,18 @@
         facts.gang = gang;
         site.submit("job1", 1, facts);
         site.world.run_for(long_enough);
-        BOOST_TEST(site.advisor.questions > 0, "gang: " << gang);
-        BOOST_TEST(site.advisor.questions <= most_questions_in_vain,
-                   "gang: " << gang << ": " << site.advisor.questions << " questions");
+        BOOST_TEST(site.advisor.queries > 0, "gang: " << gang);
+        BOOST_TEST(site.advisor.queries <= max_futile_queries,
+                   "gang: " << gang << ": " << site.advisor.queries << " queries");
         site.advisor.refused.clear();
         site.world.run_for(long_enough);
         BOOST_TEST(site.done("job1", 2), "gang: " << gang);
     }
 }
 
-// The advisor may also change its mind for good. Of two jobs that may use one worker, one
-// waits for room there, and then it may use another one only.
-BOOST_AUTO_TEST_CASE(other_workers_are_asked_about_when_an_allowance_ends)
+// The advisor may also change its verdict for good. Of two jobs allowed on the same worker,
+// one waits for its capacity and is then allowed on another worker only.
+BOOST_AUTO_TEST_CASE(other_workers_are_asked_about_after_a_refusal)
 {
     Site site(14, 2, 2);
     const auto refuse_all_but = [&site](const std::string& allowed) {
@@ -354,13 +355,13 @@
     BOOST_TEST(site.done("job2", 1));
 }
 
-// A worker that has gone from the list and come back, as it may while the store has
-// trouble, was looked at under the first fence of the epoch again. When the leader had
-// raised the fence there, it took the refusal for a later leader's.
-BOOST_AUTO_TEST_CASE(leader_goes_on_when_a_worker_is_listed_again)
+// A worker that disappeared from the list and came back, as it may during store trouble,
+// was polled with the first fence of the epoch again. If the leader had raised the fence
+// there, it mistook the refusal for that of a later leader and stepped down.
+BOOST_AUTO_TEST_CASE(leader_continues_when_a_worker_is_listed_again)
 {
     Site site(2, 2, 2);
-    // An order without an answer raises the fence.
+    // An unanswered order raises the fence.
     site.emulated.injected.unanswered_share = 1;
     site.submit("job0", 0, facts_of(2, 300, 4000), "r1-1");
     site.world.run_for(Millis(500));
@@ -375,20 +376,20 @@
     BOOST_TEST(site.epoch() == epoch);
 }
 
-// Among workers that an urgent step may be allowed to use, those that are slow come last,
-// also when only they have room: the step asked about none then.
+// Among the workers that an urgent step may be allowed to use, slow ones come last. Guards
+// against sending no query at all when only those have capacity.
 BOOST_AUTO_TEST_CASE(urgent_step_uses_a_slow_worker_when_the_others_are_full)
 {
     for (const bool slow : { false, true }) {
         Site site(3, 1, 0);
-        // w3 is learned to be slow by what its queue's guesses usually mean.
+        // w3 is learned to be slow, relative to the typical estimate error of its queue.
         for (int i = 0; i < 12; ++i) {
             const std::string name = std::to_string(i);
             site.submit("one" + name, 0, facts_of(1, 200, 1000), "r1-1", 200);
             site.submit("two" + name, 0, facts_of(1, slow ? 900 : 200, 1000), "r1-0", 200);
             site.world.run_for(Millis(1200));
         }
-        // The others are full of less urgent tasks.
+        // The other workers are full of lower-priority tasks.
         const StepModel full = facts_of(1, 60000, 8000);
         site.submit("full1", 0, full, "r1-1");
         site.submit("full2", 0, full, "r1-2");
@@ -396,22 +397,22 @@
         site.submit("job1", 1, facts_of(1, 500, 450));
         site.world.run_for(long_enough);
         BOOST_TEST(site.done("job1", 1), "slow: " << slow);
-        BOOST_TEST(site.advisor.questions > 0, "slow: " << slow);
+        BOOST_TEST(site.advisor.queries > 0, "slow: " << slow);
     }
 }
 
-// Found on the bench (grown core library, scale-2): tasks on a worker that fails all it
-// starts went back there three times within 130 ms, since it alone had room and tickets at
-// hand, and their job had failed before others were asked about.
+// Tasks on a worker that fails every task were placed there again three times within 130
+// ms, since it alone had free capacity and valid tickets. Their job had failed before other
+// workers were asked about.
 BOOST_AUTO_TEST_CASE(failed_task_goes_to_other_workers)
 {
     Site site(14, 2, 2);
-    // The workers that are asked about first, all but the one that fails.
+    // The workers that are asked about first, except the one that fails tasks.
     site.advisor.refused = { "w10", "w11", "w12", "w13", "w14", "w2", "w3", "w4", "w5" };
     site.emulated.inject_fault("w1", emulator::WorkerFault::fails_tasks, long_enough);
     site.submit("job1", 1, facts_of(4, 500, 450));
     site.world.run_for(long_enough);
     BOOST_TEST(site.done("job1", 4));
-    // Each of its tasks was tried there once at most.
+    // Each of the tasks was tried there at most once.
     BOOST_TEST(site.workers.starts["w1"] <= 4);
 }
--- a/src/jobs.lib/wait_log_limiter.h
+++ b/src/jobs.lib/wait_log_limiter.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// How often the log explains why steps wait.
+/// Limits how often the log explains why steps wait.
 
 #pragma once
 
@@ -12,15 +12,15 @@
 
 namespace pathport::jobs {
 
-/// Shares explanations out among the steps that wait. Each costs a look at all workers, so
-/// their number in a second is bounded: with hundreds of steps that wait, explaining each
-/// as often as a single one would take a tenth of the leader's time when it is short of it.
+/// Distributes explanations over the waiting steps. Each explanation scans all workers, so
+/// their rate is bounded: with hundreds of waiting steps, explaining each as often as a
+/// single one would take a tenth of the time of an already busy leader.
 class WaitLogLimiter {
 public:
-    /// Begins a round; `waiting` steps wait at present.
+    /// Begins a round; `waiting` is the number of steps that wait at present.
     void begin_round(size_t waiting);
-    /// Returns whether a step that was explained at `last` is to be explained now; if so,
-    /// it has had its turn.
+    /// Returns whether a step last explained at `last` is to be explained now. If so, the
+    /// explanation counts towards the limit of the round.
     bool acquire(Millis now, Millis last);
 
 private:
@@ -28,9 +28,9 @@
     int m_left = 0; ///< In this round.
 };
 
-/// A step that waits is explained again after this time at the earliest.
+/// Minimum time between two explanations of the same step.
 constexpr Millis min_explanation_interval { 2000 };
-/// Rounds come five times a second.
+/// Rounds occur five times a second.
 constexpr int explanations_per_round = 4;
 constexpr Millis explanation_round_interval { 200 };
 
--- a/src/jobs.lib/wait_log_limiter_test.cpp
+++ b/src/jobs.lib/wait_log_limiter_test.cpp
@@ -2,8 +2,9 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Explanations of waiting steps in the log. Guards against work for the log that grows
-/// with what waits, and so takes the leader's time when it has least of it.
+/// Rate limit on the log lines about waiting steps. Guards against logging work that grows
+/// with the number of waiting steps and takes up the leader's time when it is under the
+/// highest load.
 
 #define BOOST_TEST_MODULE wait_log_limiter
 #include <boost/test/unit_test.hpp>
@@ -18,17 +19,17 @@
 
 namespace {
 
-/// Returns how often each of so many steps was explained in the span.
-std::vector<int> explained(size_t steps, Millis span)
+/// Returns how often each of `steps` steps was explained within `span`.
+std::vector<int> count_explanations(size_t steps, Millis span)
 {
-    WaitLogLimiter turns;
+    WaitLogLimiter limiter;
     std::vector<int> counts(steps);
     std::vector<Millis> last(steps);
     constexpr Millis begun { 1000000 };
     for (Millis now = begun; now < begun + span; now = now + explanation_round_interval) {
-        turns.begin_round(steps);
+        limiter.begin_round(steps);
         for (size_t i = 0; i < steps; ++i) {
-            if (!turns.acquire(now, last[i]))
+            if (!limiter.acquire(now, last[i]))
                 continue;
             last[i] = now;
             ++counts[i];
@@ -39,17 +40,17 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(a_few_steps_are_explained_every_two_seconds)
+BOOST_AUTO_TEST_CASE(few_steps_are_explained_every_two_seconds)
 {
-    for (const int count : explained(3, Millis(20000)))
+    for (const int count : count_explanations(3, Millis(20000)))
         BOOST_TEST(count >= 9);
 }
 
-BOOST_AUTO_TEST_CASE(hundreds_of_steps_share_a_bounded_number)
+BOOST_AUTO_TEST_CASE(hundreds_of_steps_share_a_bounded_rate)
 {
     constexpr size_t steps = 400;
     constexpr Millis span { 60000 };
-    const std::vector<int> counts = explained(steps, span);
+    const std::vector<int> counts = count_explanations(steps, span);
     int all = 0;
     for (const int count : counts)
         all += count;
