--- a/src/include/pathport/jobs/job_model.h
+++ b/src/include/pathport/jobs/job_model.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// The values of the job path: jobs of steps and tasks, queues, and the configuration.
+/// Data model of the job API: jobs made of steps and tasks, queues, and the configuration.
 
 #pragma once
 
@@ -19,61 +19,62 @@
 
 namespace pathport::jobs {
 
-/// One step of a job: a number of tasks alike.
+/// One step of a job: a number of identical tasks.
 struct StepSpec {
     int count = 1;
-    Resources need; ///< Of one task.
-    int64_t expected_ms = 0; ///< The submitter's rough guess of a task's run time.
-    std::vector<int> after; ///< Steps all of whose tasks must be done first.
-    bool saves_progress = false; ///< A stopped task goes on from its checkpoint.
-    bool gang = false; ///< The tasks run only together, under one run id.
-    bool same_rack = false; ///< The tasks are slower when spread over racks.
-    bool speculative = false; ///< Copies of a task may run side by side.
+    Resources need; ///< Required by one task.
+    int64_t expected_ms = 0; ///< The submitter's estimate of a task's run time.
+    std::vector<int> after; ///< Indices of the steps that must complete first.
+    bool saves_progress = false; ///< A stopped task resumes from its checkpoint.
+    bool gang = false; ///< All tasks run at the same time, under one run id.
+    bool same_rack = false; ///< The tasks run slower when spread over several racks.
+    bool speculative = false; ///< Copies of a task may run concurrently.
     bool long_running = false; ///< The tasks run until the job is cancelled.
-    bool best_effort_cpu
-        = false; ///< The processors needed aren't counted against a worker's room.
-    std::string label; ///< A label that the worker must have; empty for none.
-    std::string preferred_rack; ///< The rack where the tasks are fastest; empty for none.
-    int max_per_worker = 0; ///< Most tasks of the step on one worker; 0 for no limit.
-    std::string image; ///< Tasks of one image behave alike.
-    int64_t latency_target_ms
-        = 0; ///< Wanted tail of a serving task's answer times; 0 for none.
-    int max_unavailable
-        = 0; ///< Lasting tasks that may be away at once by pathport's doing.
+    /// The processors needed don't count against a worker's free capacity.
+    bool best_effort_cpu = false;
+    std::string label; ///< Label that the worker must have; empty for any worker.
+    std::string preferred_rack; ///< Rack where the tasks run fastest; empty for none.
+    /// Maximum number of the step's tasks on one worker; 0 for no limit.
+    int max_per_worker = 0;
+    std::string image; ///< Tasks of the same image are expected to behave alike.
+    /// Target tail latency of a serving task's responses; 0 for none.
+    int64_t latency_target_ms = 0;
+    /// Number of long-running tasks that pathport may take down at the same time.
+    int max_unavailable = 0;
 
     bool operator==(const StepSpec& other) const;
 };
 
-/// A job as its submitter handed it in.
+/// A job as submitted.
 struct JobSpec {
-    std::string payload; ///< Passed to each task unchanged.
+    std::string payload; ///< Passed unchanged to each task.
     std::vector<StepSpec> steps;
-    int repeats = 0; ///< Above 0: the steps run so often, each time when it falls due.
-    int64_t first_due_ms = 0; ///< Wall time of repeat 0, since 1970.
+    int repeats = 0; ///< If above 0, the steps run this many times, each at its due time.
+    int64_t first_due_ms = 0; ///< Due time of repeat 0, as Unix time.
     int64_t interval_ms = 0; ///< Between two repeats.
 
     bool operator==(const JobSpec& other) const;
-    /// Returns whether the steps run at set times.
+    /// Returns whether the steps run at scheduled times.
     bool has_schedule() const { return repeats > 0; }
-    /// Returns how often the steps run in all.
+    /// Returns how many times the steps run in total.
     int instances() const { return repeats > 0 ? repeats : 1; }
 };
 
-/// Limits of what a job may hold; a job over them is refused as malformed.
+/// Limits on a job; a job that exceeds one is rejected as malformed.
 constexpr int max_steps = 256;
 constexpr int max_tasks_per_step = 10000;
 constexpr int max_repeats = 100000;
 constexpr size_t max_payload_bytes = 4000;
 
-/// Returns whether `spec` can be run at all; sets `reason` to what is wrong otherwise.
+/// Returns whether `spec` is valid; otherwise sets `reason`.
 bool is_valid(const JobSpec& spec, Failure& reason);
 
-/// What a queue's policy asks about workers: only some of them may run a step, and only a
-/// separate service knows which.
+/// Admission rule of a queue: only some workers may run a step, and an external service,
+/// the advisor, decides which.
 struct AdviceRule {
-    double decision_ms = 0; ///< The service's time for a call.
-    double per_worker_ms = 0; ///< Its further time for each worker named.
-    int64_t valid_ms = 0; ///< How long a ticket holds.
+    double decision_ms = 0; ///< Time that the advisor takes for a call.
+    double per_worker_ms = 0; ///< Additional time for each worker named in the call.
+    int64_t valid_ms = 0; ///< Validity period of a ticket.
 
     bool operator==(const AdviceRule& other) const
     {
@@ -82,60 +83,60 @@
     }
 };
 
-/// A queue that clients hand jobs to.
+/// A queue to which clients submit jobs.
 struct Queue {
     std::string name;
     std::string host;
     std::string path_prefix;
-    std::string service; ///< The pool of workers that run its tasks.
-    int priority = 0; ///< 0 goes first.
-    int max_failures = 1; ///< A task that has failed so often fails its job.
-    double stretch = 1; ///< Allowed multiple of the job's longest chain of work.
-    int64_t slo_ms = 0; ///< Allowed time beyond it.
-    int64_t timeout_ms = 3000; ///< Longest time that a client's call may take.
-    bool is_public = false; ///< Callers need no key, where keys are asked for at all.
+    std::string service; ///< The worker pool that runs its tasks.
+    int priority = 0; ///< 0 is the highest priority.
+    int max_failures = 1; ///< A task that has failed this many times fails its job.
+    double stretch = 1; ///< Allowed multiple of the job's critical path.
+    int64_t slo_ms = 0; ///< Allowed time in addition to that.
+    int64_t timeout_ms = 3000; ///< Time-out of a client's call.
+    bool is_public = false; ///< Callers need no key, even in a cell that requires keys.
     std::optional<AdviceRule> advice;
 
     bool operator==(const Queue& other) const;
 };
 
-/// The configuration in force. Higher versions replace lower ones.
+/// The active configuration. Higher versions replace lower ones.
 struct Configuration {
     int64_t version = 0;
     std::vector<Queue> queues;
     std::vector<std::string> services;
-    /// Who may call; nothing in a cell that does not tell its callers apart.
+    /// Callers' workspaces; empty in a cell that does not distinguish callers.
     std::optional<callers::Workspaces> workspaces;
     int64_t max_header_bytes = 16384;
     int64_t max_body_bytes = 1048576;
 
-    /// Returns the queue for a client's call, by host and longest path prefix.
+    /// Returns the queue for a client's call, by host and longest path prefix, or nullptr.
     const Queue* find(const std::string& host, const std::string& path) const;
-    /// Returns whether the configuration names this service, also in a queue.
+    /// Returns whether the configuration lists this service or a queue refers to it.
     bool names_service(const std::string& service) const;
-    /// Returns the queue named `name`.
+    /// Returns the queue named `name`, or nullptr.
     const Queue* by_name(const std::string& name) const;
 };
 
-/// A job that was accepted, as its row in the store holds it.
+/// An accepted job, as stored in its row.
 struct AcceptedJob {
     std::string id;
-    Queue queue; ///< As it was when the job was accepted.
-    std::string workspace; ///< Whose it is; "" for nobody's.
+    Queue queue; ///< The queue's settings at the time of acceptance.
+    std::string workspace; ///< Owning workspace; "" for none.
     JobSpec spec;
-    int64_t accepted_ms = 0; ///< Time of the store's clock.
+    int64_t accepted_ms = 0; ///< On the store's clock.
 
     bool operator==(const AcceptedJob& other) const;
 };
 
-/// Where a job is in its life, as its client sees it.
+/// State of a job, as clients see it.
 enum class JobState { pending, active, completed, failed, canceled };
 /// Returns the lower-case name of `state`.
 const char* to_string(JobState state);
-/// Returns whether nothing changes after `state`.
+/// Returns whether `state` is final.
 bool is_final(JobState state);
 
-/// Names one task: a job, one of its repeats, one of its steps, a number in that step.
+/// Identifies a task by job, repeat, step and its index within the step.
 struct TaskId {
     std::string job;
     int repeat = 0;
@@ -147,31 +148,33 @@
     bool operator==(const TaskId& other) const;
 };
 
-/// How a run of a task ended.
+/// How a task's run ended.
 enum class EndKind {
     done,
     failed,
-    stopped, ///< By order.
-    lapsed, ///< Its lease ran out.
+    stopped, ///< Stopped on request.
+    lapsed, ///< Its lease expired.
     gang_broken, ///< Another member of its gang ended.
-    gang_not_formed, ///< The other members of its gang did not come in time.
+    gang_not_formed, ///< The other members of its gang did not start in time.
 };
 /// Returns the lower-case name of `kind`.
 const char* to_string(EndKind kind);
 
-/// Names one life of a worker. A worker may start again under the name that it had; it then
-/// knows and holds nothing of before, and its counts and its clock begin anew. So whatever
-/// is kept, ordered, counted or written of a worker is kept by the id of a life, never by
-/// the name. Two lives are told apart by when they say that they started, which is no order
-/// of them: clocks jump.
+/// Identifies one incarnation of a worker. A worker may restart under the same name; it
+/// then has lost all earlier state, and its counters and clock start over. State, orders,
+/// counts and records of a worker are therefore keyed by the id of an incarnation, never by
+/// the name. Two incarnations differ in their reported start time, which does not order
+/// them, since clocks can jump.
 struct WorkerIncarnation {
-    std::string name; ///< By which the platform calls the worker, in all its lives.
-    int64_t started_ms = 0; ///< When it started, since 1970; 0 if the worker doesn't tell.
+    std::string name; ///< Name that the platform uses for all incarnations.
+    /// Start time as Unix time; 0 if the worker does not report it.
+    int64_t started_ms = 0;
 
-    /// Returns the id of the life: the name alone if it is all that is known, else
-    /// "<name>~<born_ms to base 36>", 9 bytes more, since a thousand ids stand in one row.
+    /// Returns the id of the incarnation: the name alone if the start time is unknown,
+    /// otherwise "<name>~<started_ms in base 36>". The suffix is only 9 bytes because one
+    /// row may hold a thousand ids.
     std::string id() const;
-    /// Returns the life of which `id` is the id.
+    /// Parses an id; the inverse of id().
     static WorkerIncarnation parse(const std::string& id);
     bool operator==(const WorkerIncarnation& other) const
     {
@@ -179,29 +182,29 @@
     }
 };
 
-/// One life of a worker, as the platform lists it.
+/// One incarnation of a worker, as listed by the platform.
 struct WorkerInfo {
-    std::string id; ///< Of the life, as in WorkerLife.
+    std::string id; ///< Id of the incarnation, as in WorkerIncarnation.
     std::string service;
-    std::string address; ///< IP:port that takes orders.
+    std::string address; ///< IP:port that accepts orders.
     std::string zone;
     Resources capacity;
     std::vector<std::string> labels;
-    bool draining = false; ///< It takes no new tasks and will leave.
-    int64_t remaining_ms = 0; ///< While it drains, the time that is left at least.
-    int64_t clock_ms = 0; ///< Its own clock, some time ago.
+    bool draining = false; ///< It accepts no new tasks and will shut down.
+    int64_t remaining_ms = 0; ///< While draining, the minimum time until it shuts down.
+    int64_t clock_ms = 0; ///< Its own clock when it last reported.
 
-    /// Returns the rack, which is the label of that form, or "".
+    /// Returns the label that has the form of a rack name, or "".
     std::string rack() const;
     bool has_label(const std::string& label) const;
     bool operator==(const WorkerInfo& other) const;
 };
 
-/// Encodes an accepted job for its row.
+/// Encodes an accepted job as a row value.
 std::string encode(const AcceptedJob& job);
-/// Returns the workspace of the job that a row holds, "" when it has none or is malformed.
+/// Returns the workspace of the job in a row, or "" if it has none or the row is malformed.
 std::string workspace_of_job_row(const std::string& text);
-/// Decodes an accepted job; returns nothing and sets `reason` when it is malformed.
+/// Decodes an accepted job; if it is malformed, returns nothing and sets `reason`.
 std::optional<AcceptedJob> decode_accepted_job(const std::string& id,
                                                const std::string& text, Failure& reason);
 
--- a/src/include/pathport/jobs/job_node.h
+++ b/src/include/pathport/jobs/job_node.h
@@ -2,8 +2,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// One node of the job path. Every node accepts and cancels jobs and answers for them; one
-/// of them at a time schedules. It keeps nothing that must last.
+/// A node of the job scheduler. Every node accepts, cancels and reports on jobs; one node
+/// at a time, the leader, schedules them. A node keeps no durable state of its own.
 
 #pragma once
 
@@ -25,7 +25,7 @@
 
 namespace pathport::jobs {
 
-/// The systems around a node. All of them outlive it.
+/// Dependencies of a node. All must outlive it.
 struct NodeContext {
     EventLoop& loop;
     JobStore& store;
@@ -34,121 +34,126 @@
     Advisor& advisor;
     PeerClient& peers;
     Metrics& metrics;
-    std::function<int64_t()> wall_ms; ///< Time since 1970.
+    std::function<int64_t()> wall_ms; ///< Returns the Unix time.
 };
 
-/// What a node has to be told.
+/// Settings of a node.
 struct NodeSetup {
     std::string node; ///< Its name.
-    std::string peer_address; ///< IP:port where it takes peers' messages.
-    std::string incarnation; ///< Changes with each start.
-    Millis max_lease { 6000 }; ///< The longest lease of a worker.
-    Millis kill_grace { 400 }; ///< How long a stop takes at a worker.
-    Millis gang_timeout { 3000 }; ///< So long a gang's member waits for the others.
-    /// Within this time a worker that announces its end gets no new task any more.
+    std::string peer_address; ///< IP:port on which it receives peers' messages.
+    std::string incarnation; ///< Differs for each start of the process.
+    Millis max_lease { 6000 }; ///< Maximum lease of a worker.
+    Millis kill_grace { 400 }; ///< Time that a worker takes to stop a task.
+    /// How long a gang's member waits for the others to start.
+    Millis gang_timeout { 3000 };
+    /// A worker that announces its shutdown gets no new tasks once less than this is left.
     Millis drain_margin { 2000 };
-    /// The processor time that the node may use, in thousandths of a core. A node leads
-    /// only while no stronger one can.
+    /// Processor time available to the node, in thousandths of a core. A node leads only
+    /// while no node with more is able to.
     int cpu_millicores = 1000;
-    /// What the node's link moves in a second, in bytes; 0 for no bound.
+    /// Bandwidth of the node's network link; 0 for unlimited.
     int64_t link_bytes_per_s = 0;
-    /// A leader that stops in order waits so long at most for a slow store to be quick
-    /// again before it hands over.
+    /// During an orderly shutdown, a leader waits at most this long for a slow store to
+    /// recover before it hands over.
     Millis max_hand_over_delay { 2500 };
-    /// So many closed jobs of one part of the store are archived together.
+    /// Number of closed jobs of one store partition that are archived in one transaction.
     size_t archive_batch = 12;
-    /// For experiments only.
+    /// Changed in experiments only.
     Mechanisms mechanisms;
 };
 
-/// How a client's call ended.
+/// Outcome of a client's call.
 enum class ClientStatus {
     ok,
-    refused, ///< Not done and never will be by this call; come back later.
-    in_doubt, ///< It may have been done; ask again.
-    not_found, ///< There is no such job.
-    unavailable, ///< Nobody can say at present; come back later.
-    id_taken, ///< A job of another workspace has this id; not done and never will be.
-    over_bound, ///< It needs more at once than its workspace may have; it never runs.
+    refused, ///< Not executed, and will not be by this call; retry later.
+    in_doubt, ///< It may have been executed; retry with the same id.
+    not_found, ///< No such job.
+    unavailable, ///< The answer is not known at present; retry later.
+    id_taken, ///< A job of another workspace has this id; not executed, and never will be.
+    /// It needs more at once than its workspace's bound allows, so it could never run.
+    over_bound,
 };
 
-/// Answers a hand-in or a cancellation.
+/// Receives the result of a submission or a cancellation.
 using ClientReply = std::function<void(ClientStatus)>;
-/// Answers a question for a job's state.
+/// Receives the result of a query for a job's state.
 using StateReply = std::function<void(ClientStatus, JobState)>;
-/// Answers a question for a number of jobs.
+/// Receives the result of a query for a number of jobs.
 using CountReply = std::function<void(ClientStatus, int64_t)>;
 
-/// What one workspace has and waits for, as the leader knows it.
+/// Resource use and backlog of a workspace, as known to the leader.
 struct WorkspaceLoad {
     callers::Workspace workspace;
-    Resources running; ///< With what may run on workers that have not reported.
-    int waiting_jobs = 0; ///< Of which nothing is placed.
-    int beyond_share = 0; ///< Open jobs that came beyond its share.
-    int steps_at_bound = 0; ///< That wait for room below its bound.
+    /// Includes tasks that may run on workers that have not reported yet.
+    Resources running;
+    int waiting_jobs = 0; ///< Jobs without a placed task.
+    int beyond_share = 0; ///< Open jobs that were submitted beyond its fair share.
+    int steps_at_bound = 0; ///< Steps that wait because the workspace is at its bound.
 };
 
-/// A node.
+/// A node of the job scheduler.
 class JobNode {
 public:
-    JobNode(const NodeContext& parts, const NodeSetup& setup);
+    JobNode(const NodeContext& context, const NodeSetup& setup);
     ~JobNode();
     JobNode(const JobNode&) = delete;
     JobNode& operator=(const JobNode&) = delete;
 
-    /// Begins to work.
+    /// Starts the node.
     void begin();
-    /// Begins a planned stop: it takes no more part in the election and hands over.
+    /// Begins an orderly shutdown: the node leaves the election and hands over leadership.
     void begin_shutdown();
 
-    /// Returns whether clients should be sent here.
+    /// Returns whether the node is ready for clients' calls.
     bool ready() const;
-    /// Returns whether this node schedules at present.
+    /// Returns whether this node is the leader.
     bool leads() const;
-    /// Returns the configuration in force, or nothing when there is none yet.
+    /// Returns the active configuration, or nullptr if there is none yet.
     std::shared_ptr<const Configuration> configuration() const;
-    /// Returns how long ago the store last told that no newer one is there.
+    /// Returns the time since the store last confirmed that there is no newer
+    /// configuration.
     Millis configuration_age() const;
-    /// Returns whether that is so short ago that a caller may be told that a queue does not
-    /// exist. Otherwise nobody can say, and the caller should come back.
+    /// Returns whether the configuration was confirmed recently enough to tell a caller
+    /// that a queue does not exist. If it was not, the caller should be told to retry.
     bool configuration_is_fresh() const;
-    /// Returns when a caller whose job the queue does not take should come back; zero when
-    /// it takes it.
+    /// Returns the time after which a caller should retry if the queue is closed to
+    /// submissions; zero if it is open.
     Millis closed_queue_retry_after(const std::string& queue) const;
-    /// Returns when a caller whose job was refused should come back.
+    /// Returns the time after which the caller of a refused submission should retry.
     Millis retry_after_refusal(const Queue& queue, const JobSpec& spec,
                                const std::string& id) const;
-    /// From now on `listener` is told of each configuration that comes into force.
+    /// Registers `listener` to be called for each configuration that becomes active.
     void on_configuration(std::function<void(const Configuration&)> listener);
 
-    /// Finds out who makes a call on a queue of the configuration.
+    /// Identifies the caller of a queue of the configuration.
     callers::CallerCheck check_caller(const Configuration& configuration,
                                       const Queue& queue, const callers::PresentedKey& key);
 
-    /// Hands in a job for `caller`, whose workspace's it becomes. `received` is when the
-    /// call came, `limit` the time that its client waits, 0 when unknown.
+    /// Submits a job for `caller`, whose workspace will own it. `received` is when the call
+    /// arrived; `limit` is how long its client waits, 0 if unknown.
     void submit(const Queue& queue, const std::string& id, const JobSpec& spec,
                 Millis received, Millis limit, ClientReply done,
                 const callers::Caller& caller = {});
-    /// Cancels a job. For a caller that may not see it there is none.
+    /// Cancels a job. Returns not_found to a caller that may not see it.
     void cancel(const std::string& id, Millis received, Millis limit, ClientReply done,
                 const callers::Caller& caller = {});
-    /// Asks for the state of a job. For a caller that may not see it there is none.
+    /// Queries the state of a job. Returns not_found to a caller that may not see it.
     void query(const std::string& id, Millis received, Millis limit, StateReply done,
                const callers::Caller& caller = {});
-    /// Asks how many jobs of a queue have not begun.
+    /// Queries how many jobs of a queue have not started.
     void count_pending(const Queue& queue, Millis received, Millis limit, CountReply done);
 
-    /// Handles a peer's message.
+    /// Handles a message from a peer.
     void handle_peer(const PeerRequest& request, PeerResponder done);
 
-    /// Returns the load of each workspace of the configuration; empty unless this node
-    /// leads.
+    /// Returns the load of each workspace of the configuration; empty unless this node is
+    /// the leader.
     std::vector<WorkspaceLoad> workspace_loads() const;
-    /// Returns how many workers have answered this node lately; 0 when it does not lead.
+    /// Returns the number of workers that answered this node recently; 0 unless it is the
+    /// leader.
     size_t reachable_workers() const;
 
-    /// Brings the gauges among the metrics up to date.
+    /// Updates the gauge metrics.
     void update_gauges();
 
 private:
--- a/src/include/pathport/jobs/job_store.h
+++ b/src/include/pathport/jobs/job_store.h
@@ -2,8 +2,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// The transactional store in which the job path keeps all that must last, and the
-/// directory of workers and of the configuration. Calls don't block.
+/// Interface of the transactional store that holds all durable state of the job scheduler,
+/// and of the directory of workers and configuration. Calls are asynchronous.
 
 #pragma once
 
@@ -18,7 +18,8 @@
 
 namespace pathport::jobs {
 
-/// Names one row. A transaction may touch rows of several tables but of one part only.
+/// Identifies a row. A transaction may touch rows of several tables, but of one partition
+/// only.
 struct RowKey {
     std::string table;
     std::string partition;
@@ -30,68 +31,70 @@
     }
 };
 
-/// One row as the store holds it.
+/// A row as stored.
 struct StoredRow {
     RowKey id;
     std::string value;
-    int64_t version = 0; ///< Of the transaction that wrote it; 0 for a missing row.
+    int64_t version = 0; ///< Version of the transaction that wrote it; 0 for a missing row.
     bool removed = false;
 };
 
-/// A condition: the row has exactly this version; 0 means that it is missing.
+/// Precondition that a row has exactly this version; 0 means that the row is missing.
 struct RowCheck {
     RowKey id;
     int64_t version = 0;
 };
 
-/// A row to be written.
+/// A row to write.
 struct RowPut {
     RowKey id;
     std::string value;
 };
 
-/// A transaction: when all checks hold, all puts take effect together.
+/// A transaction: if all checks hold, its puts and removes take effect atomically.
 struct StoreWrite {
     std::vector<RowCheck> checks;
     std::vector<RowPut> puts;
     std::vector<RowKey> removes;
 };
 
-/// A read of rows of one table and part, with keys from `from` up to but without `to`.
+/// A range read of one table and partition: keys from `from` up to, but not including,
+/// `to`.
 struct StoreRange {
     std::string table;
     std::string partition;
     std::string from;
-    std::string to; ///< Empty for no end.
+    std::string to; ///< Empty for no upper bound.
     int limit = 500;
 };
 
-/// How a call to the store ended.
+/// Outcome of a store call.
 enum class StoreStatus {
     ok,
-    conflict, ///< A check failed; `rows` holds the checked rows as they are.
-    refused, ///< Nothing was done: the store is busy or can't be reached.
-    unknown, ///< No answer: it may have been done, or be done later.
-    history_lost, ///< Changes so old are gone; read whole.
+    conflict, ///< A check failed; `rows` holds the current checked rows.
+    refused, ///< Not executed: the store is busy or unreachable.
+    unknown, ///< No reply: it may have been executed, or may be executed later.
+    history_lost, ///< The requested changes are no longer kept; read the whole table.
 };
 
 /// Returns the lower-case name of `status`.
 const char* to_string(StoreStatus status);
 
-/// The answer to a call.
+/// Result of a store call.
 struct StoreResult {
     StoreStatus status = StoreStatus::unknown;
     std::vector<StoredRow> rows;
     bool more = false;
-    int64_t version = 0; ///< The newest version, after a write the one that it made.
-    int64_t clock_ms = 0; ///< The store's steady clock.
+    /// The newest version; after a write, the version that it created.
+    int64_t version = 0;
+    int64_t clock_ms = 0; ///< The store's monotonic clock.
 };
 
 using StoreReply = std::function<void(StoreResult)>;
 
-/// The most checks and puts together that one transaction may hold.
+/// Maximum number of checks and puts together in one transaction.
 constexpr size_t max_transaction_entries = 100;
-/// The most bytes of values in one transaction.
+/// Maximum total size of the values in one transaction, in bytes.
 constexpr size_t max_transaction_bytes = 600000;
 
 /// The store.
@@ -99,29 +102,29 @@
 public:
     virtual ~JobStore() = default;
 
-    /// Runs a transaction. `done` is called exactly once, later.
+    /// Runs a transaction. `done` is called exactly once, after this call returns.
     virtual void write(const StoreWrite& write, Millis timeout, StoreReply done) = 0;
-    /// Reads rows as of one moment.
+    /// Reads rows from a consistent snapshot.
     virtual void read(const StoreRange& range, Millis timeout, StoreReply done) = 0;
-    /// Waits up to `wait` for changes of `table` after `version`, in all parts.
+    /// Waits up to `wait` for changes of `table` after `version`, in all partitions.
     virtual void watch(const std::string& table, int64_t version, Millis wait,
                        StoreReply done)
         = 0;
-    /// Returns whether the answer to an open watch() is under way: bytes of it came a
-    /// moment ago. A store that can't tell says no.
+    /// Returns whether the reply to an open watch() is being received, that is, bytes of it
+    /// arrived a moment ago. A store that can't tell returns false.
     virtual bool receiving_feed() const { return false; }
 };
 
-/// What became of a read of the directory.
+/// Result of a directory read.
 template <typename Value>
 struct DirectoryAnswer {
     StoreStatus status = StoreStatus::unknown;
-    std::optional<Value> value; ///< Nothing when it has not changed, or isn't there yet.
-    std::string unreadable; ///< Why a value that is there can't be read; else empty.
-    int64_t version = 0; ///< Go on watching from here.
+    std::optional<Value> value; ///< Empty if unchanged or not there yet.
+    std::string unreadable; ///< Reason why an existing value can't be decoded; else empty.
+    int64_t version = 0; ///< Version from which to continue watching.
 };
 
-/// What the platform tells about its workers and the operators' configuration.
+/// The platform's worker list and the operators' configuration.
 class Directory {
 public:
     virtual ~Directory() = default;
--- a/src/include/pathport/jobs/mechanisms.h
+++ b/src/include/pathport/jobs/mechanisms.h
@@ -2,8 +2,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Parts of the policy that can be switched off in an experiment, to measure what each is
-/// worth. In production all are in use.
+/// Scheduling mechanisms that an experiment can disable in order to measure their effect.
+/// In production all are enabled.
 
 #pragma once
 
@@ -17,41 +17,47 @@
 
 namespace pathport::jobs {
 
-/// One part of the policy.
+/// A scheduling mechanism that can be disabled.
 enum class Mechanism {
-    advice_spread, ///< Questions for advice go through all nodes, not the leader alone.
-    advice_shares, ///< Queues share the advisor's time; else the most urgent takes all.
-    second_choices, ///< A step avoids workers where a task of it came to nothing.
-    avoided_workers, ///< Workers with surprising failures are left alone for a while.
-    slow_workers, ///< Urgent work is kept from workers that are learned to be slow.
-    slack_order, ///< Within a queue's priority the least slack goes first; else the oldest.
-    preemption, ///< Less urgent tasks that keep their progress give way.
-    reservations, ///< Workers are kept for steps that wait for room or tickets there.
-    early_orders, ///< In a slow store, orders precede their records.
-    early_reads, ///< In a slow store, a written row is read at once.
-    write_batching, ///< Jobs share the transactions of the leader's log.
-    learned_timeouts, ///< Time-outs of workers' answers are learned.
-    short_looks, ///< Looks wait for less where something runs.
-    hand_over, ///< A leader that stops names its successor.
-    strongest_leads, ///< Nodes with more processor time lead.
-    archive, ///< Closed jobs leave the table that a take-over reads.
-    worker_relays, ///< Other nodes make a busy leader's calls to workers.
+    /// Advice queries are spread over all nodes instead of sent by the leader alone.
+    advice_spread,
+    /// Queues share the advisor's time; otherwise the most urgent queue takes all of it.
+    advice_shares,
+    /// A step avoids workers where one of its tasks failed to start or made no progress.
+    second_choices,
+    avoided_workers, ///< Workers with unexpected failures get no tasks for a while.
+    slow_workers, ///< Urgent work is not placed on workers that have proved slow.
+    /// Within a priority, the job with the least slack goes first; otherwise the oldest.
+    slack_order,
+    preemption, ///< Less urgent tasks that save their progress may be preempted.
+    /// Workers are reserved for steps that wait for capacity or tickets there.
+    reservations,
+    early_orders, ///< While the store is slow, orders are sent before they are recorded.
+    early_reads, ///< While the store is slow, a written row is read back at once.
+    write_batching, ///< Rows of several jobs share a transaction of the leader's log.
+    learned_timeouts, ///< Time-outs for workers' replies adapt to measured response times.
+    short_looks, ///< Polls of workers that run tasks use a shorter long-poll wait.
+    hand_over, ///< A leader that shuts down names its successor.
+    strongest_leads, ///< The node with the most processor time leads.
+    archive, ///< Closed jobs are moved out of the table that a new leader reads.
+    worker_relays, ///< Other nodes relay a busy leader's calls to workers.
 };
 constexpr size_t mechanism_count = 17;
 
-/// Returns the name of a mechanism, as settings have it.
+/// Returns the name of a mechanism, as used in settings.
 const char* to_string(Mechanism mechanism);
 /// Returns all mechanisms.
 std::vector<Mechanism> all_mechanisms();
 
-/// Which mechanisms are in use.
+/// The set of enabled mechanisms.
 class Mechanisms {
 public:
-    /// All are.
+    /// Enables all mechanisms.
     Mechanisms() = default;
 
-    /// Returns all but those that `names` lists, with commas between; "none" lists none. On
-    /// failure returns nothing, and `reason` has the unknown name and those that are known.
+    /// Returns all mechanisms except those in the comma-separated list `names`; "none"
+    /// excludes none. On failure returns nothing and sets `reason`, which lists the unknown
+    /// name and the known ones.
     static std::optional<Mechanisms> without(std::string_view names, Failure& reason);
 
     bool uses(Mechanism mechanism) const { return !m_off[static_cast<size_t>(mechanism)]; }
--- a/src/include/pathport/jobs/peers.h
+++ b/src/include/pathport/jobs/peers.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// What nodes say to each other.
+/// Messages between nodes.
 
 #pragma once
 
@@ -19,14 +19,14 @@
 
 namespace pathport::jobs {
 
-/// How long a relay holds a leader's message open at most while it has no answers.
+/// Maximum time for which a relay holds a leader's long poll open while it has no answers.
 constexpr Millis relay_poll_wait { 400 };
 
-/// A queue that takes no jobs at present, since the advice that there is can't decide about
-/// them in time.
+/// A queue that is closed to submissions because the advisor has no capacity to decide
+/// about further jobs in time.
 struct ClosedQueue {
     std::string queue;
-    Millis retry_after; ///< Callers should come back after so long.
+    Millis retry_after; ///< Time after which callers should retry.
 
     bool operator==(const ClosedQueue& other) const
     {
@@ -34,90 +34,92 @@
     }
 };
 
-/// What a peer asks or tells.
+/// Topic of a peer message.
 enum class PeerTopic {
-    heartbeat, ///< A follower asks its leader whether it still leads.
+    heartbeat, ///< A follower asks the leader whether it still leads.
     job_accepted, ///< A job was accepted; `row` holds it.
     job_canceled, ///< A cancellation was recorded.
-    job_state, ///< Which state is the job in?
-    queue_pending, ///< How many jobs of the queue have not begun?
-    advice, ///< Ask the advisor about `job` (a step) and `workers`.
-    accept_job, ///< Accept this job for a node that can't reach the store.
-    cancel_job, ///< Record this cancellation for a node that can't reach the store.
-    configuration, ///< Which configuration do you have?
-    worker_calls, ///< Make these calls to workers, and answer those that were made.
-    job_payload, ///< What is the payload of this job, which you accepted?
-    worker_list, ///< Read the list of workers; what has changed since `version`?
+    job_state, ///< Queries the state of a job.
+    queue_pending, ///< Queries how many jobs of the queue have not started.
+    advice, ///< Queries the advisor about `job` (a step) and `workers`.
+    accept_job, ///< Accepts a job for a node that can't reach the store.
+    cancel_job, ///< Records a cancellation for a node that can't reach the store.
+    configuration, ///< Requests the receiver's configuration.
+    worker_calls, ///< Relays calls to workers; the answer returns finished calls.
+    job_payload, ///< Requests the payload of a job that the receiver accepted.
+    worker_list, ///< Reads the list of workers and returns the changes since `version`.
 };
 
 /// Returns the lower-case name of `topic`.
 const char* to_string(PeerTopic topic);
 
-/// A message to a peer. Each topic uses some of the fields.
+/// A message to a peer. Each topic uses a subset of the fields.
 struct PeerRequest {
     PeerTopic topic = PeerTopic::heartbeat;
     std::string node; ///< The sender.
-    std::string address; ///< Where the sender takes messages.
-    std::string incarnation; ///< The sender's process.
-    std::string job; ///< A job's id, or a step's.
-    std::string queue; ///< A queue's name.
+    std::string address; ///< Address on which the sender receives messages.
+    std::string incarnation; ///< Identifies the sender's process.
+    std::string job; ///< Id of a job or of a step.
+    std::string queue; ///< Name of a queue.
     std::string row; ///< An accepted job, encoded.
-    callers::Caller caller; ///< Who hands the job in, asks for its state or cancels it.
-    int64_t version = 0; ///< At which that job came into the store; 0 when unknown.
+    callers::Caller caller; ///< The client that submits, queries or cancels the job.
+    int64_t version = 0; ///< Version at which that job was stored; 0 if unknown.
     std::vector<std::string> workers;
-    int64_t epoch = 0; ///< The highest that the sender knows.
-    int64_t config_version = 0; ///< The sender's; in every message (VersionGossip).
+    int64_t epoch = 0; ///< Highest epoch that the sender knows.
+    /// Version of the sender's configuration; in every message (VersionGossip).
+    int64_t config_version = 0;
     bool leads = false; ///< The sender leads in `epoch`.
-    /// The sender led in `epoch` and gives its place up; or it follows and stops, so that
-    /// it must not be made the successor.
+    /// The sender led in `epoch` and resigns; or it is a follower that shuts down and must
+    /// not be made the successor.
     bool resigned = false;
     int cpu_millicores = 0; ///< The sender's, as in NodeSetup.
-    int64_t link_bytes_per_s = 0; ///< The same.
+    int64_t link_bytes_per_s = 0; ///< The sender's, as in NodeSetup.
     std::string calls; ///< Calls to workers, encoded.
-    int64_t peers_hash = 0; ///< Of the list of followers that the sender has.
-    bool store_served = false; ///< Whether the store served the sender lately.
-    bool store_fails = false; ///< Whether the store does not serve the sender.
+    int64_t peers_hash = 0; ///< Hash of the sender's list of followers.
+    bool store_served = false; ///< Whether the store served the sender recently.
+    bool store_fails = false; ///< Whether the store is unavailable to the sender.
     bool promises = false; ///< The sender won't claim leadership for `promise_time`.
-    int64_t echo_ms
-        = 0; ///< The leader's time from its last answer; promises count from it.
+    /// The leader's time in its last answer; promises are valid from then.
+    int64_t echo_ms = 0;
 };
 
-/// The answer of a peer.
+/// The answer to a peer message.
 struct PeerAnswer {
-    bool served = false; ///< Whether the peer could serve the request.
-    std::string node; ///< The peer.
-    std::string incarnation; ///< Its process.
-    std::string leader; ///< Where the leader of `epoch` takes messages, if it is known.
+    bool served = false; ///< Whether the peer could handle the request.
+    std::string node; ///< Name of the peer.
+    std::string incarnation; ///< Identifies the peer's process.
+    std::string leader; ///< Address of the leader of `epoch`, if known.
     std::string leader_incarnation;
-    bool leads = false; ///< Whether it leads at present.
-    bool resigned = false; ///< It led in `epoch` and has given no order since it said so.
+    bool leads = false; ///< Whether the peer is the leader.
+    /// The peer led in `epoch`, has resigned and sends no more orders.
+    bool resigned = false;
     int64_t epoch = 0;
     int64_t sent_ms = 0; ///< The leader's clock.
     int64_t config_version = 0;
-    int max_follower_millicores
-        = 0; ///< The highest strength among a leader's live followers.
-    int64_t call_rate = 0; ///< Calls to workers that a leader has made in a second lately.
-    int64_t call_bytes_per_s = 0; ///< What they take on a link, in bytes a second.
-    int64_t peers_hash = 0; ///< Of the leader's list of followers.
-    std::vector<std::string> peers; ///< That list, if the sender's is another one.
-    int status = 0; ///< Of an acceptance or cancellation, as to a client.
+    /// Highest `cpu_millicores` of a leader's live followers.
+    int max_follower_millicores = 0;
+    int64_t call_rate = 0; ///< A leader's recent calls to workers, per second.
+    int64_t call_bytes_per_s = 0; ///< Network traffic of those calls.
+    int64_t peers_hash = 0; ///< Hash of the leader's list of followers.
+    std::vector<std::string> peers; ///< That list, if the sender's differs.
+    int status = 0; ///< ClientStatus of a submission, cancellation or state query.
     int64_t count = 0; ///< Pending jobs.
     std::optional<JobState> state;
     std::string row; ///< A configuration, encoded, or the payload of a job.
-    std::string calls; ///< Answers of workers, encoded.
+    std::string calls; ///< Workers' answers, encoded.
     std::vector<WorkerTicket> tickets;
-    std::vector<ClosedQueue> closed; ///< Queues that take no jobs, in a leader's answer.
+    std::vector<ClosedQueue> closed; ///< Closed queues, in a leader's answer.
 };
 
-/// How a message to a peer ended.
+/// Outcome of a message to a peer.
 enum class PeerEnd {
     answered,
-    refused, ///< No process listens there.
-    silent, ///< No answer.
+    refused, ///< The connection was refused: no process listens there.
+    silent, ///< No answer before the time-out.
 };
 
 using PeerReply = std::function<void(PeerEnd, PeerAnswer)>;
-/// Answers a peer's message; called exactly once.
+/// Sends the answer to a peer's message; called exactly once.
 using PeerResponder = std::function<void(PeerAnswer)>;
 
 /// Sends messages to peers.
--- a/src/jobs.lib/acceptor.cpp
+++ b/src/jobs.lib/acceptor.cpp
@@ -13,10 +13,10 @@
 namespace {
 
 constexpr Millis read_timeout { 600 };
-/// Pause after a write that the store refused.
-constexpr Millis refused_pause { 80 };
-/// Each job takes a put and two checks.
-constexpr size_t most_rows = max_transaction_entries / 3;
+/// Delay after a write that the store refused.
+constexpr Millis refused_retry_delay { 80 };
+/// Each job needs a put and two checks.
+constexpr size_t max_jobs_per_write = max_transaction_entries / 3;
 
 } // namespace
 
@@ -40,7 +40,7 @@
 }
 
 void Acceptor::accept(const std::string& id, const std::string& row,
-                      const std::string& workspace, Millis give_up, WriteReply done)
+                      const std::string& workspace, Millis give_up_at, WriteReply done)
 {
     auto entry = std::make_shared<Entry>();
     entry->id = id;
@@ -48,17 +48,17 @@
     entry->is_job = true;
     entry->value = row;
     entry->workspace = workspace;
-    entry->give_up = give_up;
+    entry->give_up_at = give_up_at;
     entry->done.push_back(std::move(done));
     add(job_partition(id), std::move(entry));
 }
 
 // A job that is closed needs no cancellation.
-void Acceptor::cancel(const std::string& id, const callers::Caller& caller, Millis give_up,
-                      WriteReply done)
+void Acceptor::cancel(const std::string& id, const callers::Caller& caller,
+                      Millis give_up_at, WriteReply done)
 {
-    const auto from_open
-        = [this, id, caller, give_up, done](Presence job, const std::string& owner) {
+    const auto on_job_row
+        = [this, id, caller, give_up_at, done](Presence job, const std::string& owner) {
               if (job == Presence::undetermined) {
                   done({ WriteOutcome::refused });
                   return;
@@ -68,10 +68,10 @@
                   return;
               }
               if (job == Presence::open) {
-                  record_cancel(id, give_up, done);
+                  record_cancel(id, give_up_at, done);
                   return;
               }
-              look_up(closed_row(id), give_up,
+              look_up(closed_row(id), give_up_at,
                       [caller, done](Presence closed, const std::string& of) {
                           WriteResult result { WriteOutcome::written };
                           if (closed == Presence::missing || !caller.may_see(of))
@@ -81,22 +81,22 @@
                           done(result);
                       });
           };
-    look_up(job_row(id), give_up, from_open);
+    look_up(job_row(id), give_up_at, on_job_row);
 }
 
-void Acceptor::record_cancel(const std::string& id, Millis give_up, WriteReply done)
+void Acceptor::record_cancel(const std::string& id, Millis give_up_at, WriteReply done)
 {
     auto entry = std::make_shared<Entry>();
     entry->id = id;
     entry->row = cancel_row(id);
     entry->value = "1";
-    entry->give_up = give_up;
+    entry->give_up_at = give_up_at;
     entry->done.push_back(std::move(done));
     add(job_partition(id), std::move(entry));
 }
 
-// Says whether the row is there, trying until `give_up`.
-void Acceptor::look_up(const RowKey& row, Millis give_up, LookUpReply done)
+// Reports whether the row exists, retrying until `give_up_at`.
+void Acceptor::look_up(const RowKey& row, Millis give_up_at, LookUpReply done)
 {
     StoreRange range;
     range.table = row.table;
@@ -105,7 +105,7 @@
     range.to = row.key + "!";
     range.limit = 1;
     m_store.read(range, read_timeout,
-                 m_lifetime.wrap([this, row, give_up, done](const StoreResult& result) {
+                 m_lifetime.wrap([this, row, give_up_at, done](const StoreResult& result) {
                      if (result.status == StoreStatus::ok) {
                          const bool closed = row.table == closed_table;
                          if (result.rows.empty()) {
@@ -119,24 +119,24 @@
                              done(Presence::open, workspace_of_job_row(value));
                          return;
                      }
-                     if (m_loop.now() >= give_up || m_store.failing()) {
+                     if (m_loop.now() >= give_up_at || m_store.failing()) {
                          done(Presence::undetermined, "");
                          return;
                      }
-                     m_loop.after(refused_pause,
-                                  m_lifetime.wrap([this, row, give_up, done] {
-                                      look_up(row, give_up, done);
+                     m_loop.after(refused_retry_delay,
+                                  m_lifetime.wrap([this, row, give_up_at, done] {
+                                      look_up(row, give_up_at, done);
                                   }));
                  }));
 }
 
-void Acceptor::add(const std::string& part, EntryPtr entry)
+void Acceptor::add(const std::string& partition, EntryPtr entry)
 {
     const auto open = m_open.find(entry->row.key);
     if (open != m_open.end()) {
-        // The same job came again while it is being written.
+        // The same job was submitted again while it is being written.
         open->second->done.push_back(entry->done.front());
-        open->second->give_up = std::max(open->second->give_up, entry->give_up);
+        open->second->give_up_at = std::max(open->second->give_up_at, entry->give_up_at);
         return;
     }
     if (m_store.failing()) {
@@ -147,44 +147,44 @@
         return;
     }
     m_open[entry->row.key] = entry;
-    m_partitions[part].waiting.push_back(std::move(entry));
-    flush(part);
+    m_partitions[partition].waiting.push_back(std::move(entry));
+    flush(partition);
 }
 
 void Acceptor::flush(const std::string& name)
 {
-    Partition& part = m_partitions[name];
-    if (part.busy)
+    Partition& partition = m_partitions[name];
+    if (partition.busy)
         return;
-    expire_entries(part);
+    expire_entries(partition);
     StoreWrite write;
     size_t bytes = 0;
-    while (!part.waiting.empty() && part.under_way.size() < most_rows
+    while (!partition.waiting.empty() && partition.in_flight.size() < max_jobs_per_write
            && bytes < max_transaction_bytes) {
-        const EntryPtr entry = part.waiting.front();
-        part.waiting.pop_front();
-        part.under_way.push_back(entry);
+        const EntryPtr entry = partition.waiting.front();
+        partition.waiting.pop_front();
+        partition.in_flight.push_back(entry);
         bytes += entry->value.size();
         write.checks.push_back({ entry->row, 0 });
         if (entry->is_job)
             write.checks.push_back({ closed_row(entry->id), 0 });
         write.puts.push_back({ entry->row, entry->value });
     }
-    if (part.under_way.empty())
+    if (partition.in_flight.empty())
         return;
-    part.busy = true;
-    if (!part.writer)
-        part.writer = std::make_unique<StoreWriter>(m_loop, m_store);
-    part.writer->send(write,
-                      [this, name](const StoreResult& result) { answered(name, result); });
+    partition.busy = true;
+    if (!partition.writer)
+        partition.writer = std::make_unique<StoreWriter>(m_loop, m_store);
+    partition.writer->send(
+        write, [this, name](const StoreResult& result) { answered(name, result); });
 }
 
 void Acceptor::answered(const std::string& name, const StoreResult& result)
 {
-    Partition& part = m_partitions[name];
-    part.busy = false;
+    Partition& partition = m_partitions[name];
+    partition.busy = false;
     std::vector<EntryPtr> sent;
-    sent.swap(part.under_way);
+    sent.swap(partition.in_flight);
     Millis pause(0);
     if (result.status == StoreStatus::ok) {
         for (const EntryPtr& entry : sent)
@@ -193,9 +193,9 @@
                      entry->value, entry->workspace });
     } else {
         if (result.status == StoreStatus::refused)
-            pause = refused_pause;
+            pause = refused_retry_delay;
         for (auto entry = sent.rbegin(); entry != sent.rend(); ++entry) {
-            // Rows that came with the result are there already; the others go out again.
+            // Rows returned with the result are stored already; the others are sent again.
             const auto finished = outcome_from_rows(**entry, result);
             if (finished) {
                 finish(*entry, *finished);
@@ -204,37 +204,37 @@
             if (result.status == StoreStatus::unknown)
                 (*entry)->in_doubt = true;
             if (result.status == StoreStatus::refused && m_store.failing())
-                (*entry)->give_up = m_loop.now();
-            part.waiting.push_front(*entry);
+                (*entry)->give_up_at = m_loop.now();
+            partition.waiting.push_front(*entry);
         }
     }
     if (pause == Millis(0)) {
         flush(name);
         return;
     }
-    expire_entries(part);
+    expire_entries(partition);
     m_loop.after(pause, m_lifetime.wrap([this, name] { flush(name); }));
 }
 
-void Acceptor::expire_entries(Partition& part)
+void Acceptor::expire_entries(Partition& partition)
 {
     const Millis now = m_loop.now();
-    std::deque<EntryPtr> kept;
-    std::vector<EntryPtr> late;
-    for (const EntryPtr& entry : part.waiting) {
-        if (now < entry->give_up)
-            kept.push_back(entry);
+    std::deque<EntryPtr> remaining;
+    std::vector<EntryPtr> expired;
+    for (const EntryPtr& entry : partition.waiting) {
+        if (now < entry->give_up_at)
+            remaining.push_back(entry);
         else
-            late.push_back(entry);
+            expired.push_back(entry);
     }
-    part.waiting.swap(kept);
-    for (const EntryPtr& entry : late)
+    partition.waiting.swap(remaining);
+    for (const EntryPtr& entry : expired)
         finish(entry, { entry->in_doubt ? WriteOutcome::in_doubt : WriteOutcome::refused });
 }
 
-// Returns the outcome if the rows of a result, those that a conflict names or one that was
-// read, show that there is nothing left to write. A closed job's version is left at 0: it
-// says nothing about when the job came.
+// Returns the outcome if the rows of a result, from a conflict or from a read, show that
+// nothing is left to write. The version of a closed job is 0: its row does not tell when
+// the job was stored.
 std::optional<WriteResult> Acceptor::outcome_from_rows(const Entry& entry,
                                                        const StoreResult& result)
 {
--- a/src/jobs.lib/acceptor.h
+++ b/src/jobs.lib/acceptor.h
@@ -2,8 +2,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Acceptance and cancellation of jobs: any node writes them to the store, many in one
-/// transaction, and only then says so.
+/// Accepts and cancels jobs: any node writes them to the store, many in one transaction,
+/// and replies only when they are stored.
 
 #pragma once
 
@@ -25,30 +25,30 @@
 
 namespace pathport::jobs {
 
-/// What became of a hand-in or a cancellation.
+/// Outcome of a submission or a cancellation.
 enum class WriteOutcome {
-    written, ///< It is in the store, by this call or an earlier one.
-    refused, ///< It is not there and never will be by this call.
-    in_doubt, ///< It may be there, or come there.
-    missing, ///< For a cancellation: there is no such job.
+    written, ///< It is stored, by this call or an earlier one.
+    refused, ///< It is not stored and will not be by this call.
+    in_doubt, ///< It may be stored, or may be stored later.
+    missing, ///< Cancellations only: there is no such job.
 };
 
-/// What an outcome was concluded from.
+/// Evidence for an outcome.
 enum class WriteEvidence {
-    none, ///< Nothing was written as far as it is known.
-    answer, ///< The store answered that this transaction took effect.
-    row, ///< The row, or that of the closed job, was seen in the store.
+    none, ///< Nothing is known to have been written.
+    answer, ///< The store confirmed this transaction.
+    row, ///< The row, or that of the closed job, was read from the store.
 };
 
-/// The same with the row of the job as the store holds it, which another hand-in under its
-/// id may have brought, and the version at which it came; "" and 0 when that isn't known or
-/// the job is closed.
+/// An outcome with the stored row of the job, which another submission under the same id
+/// may have written, and the version that wrote it; "" and 0 if they are unknown or the job
+/// is closed.
 struct WriteResult {
     WriteOutcome outcome = WriteOutcome::in_doubt;
     int64_t version = 0;
     WriteEvidence evidence = WriteEvidence::none;
     std::string row {};
-    std::string workspace {}; ///< Whose job is in the store under the id.
+    std::string workspace {}; ///< Workspace of the job that is stored under the id.
 };
 
 /// Returns the lower-case name of `evidence`.
@@ -61,47 +61,48 @@
 public:
     Acceptor(EventLoop& loop, StoreHealth& store);
 
-    /// Writes the row of a job of `workspace` if it isn't there, trying until `give_up`.
-    /// While the store is away it is refused at once, so that its client can go elsewhere.
+    /// Writes the row of a job of `workspace` unless it exists, retrying until
+    /// `give_up_at`. While the store is unavailable it refuses at once, so that the client
+    /// can try another node.
     void accept(const std::string& id, const std::string& row, const std::string& workspace,
-                Millis give_up, WriteReply done);
-    /// Writes a cancellation if the job is there and `caller` may see it, trying until
-    /// `give_up`.
-    void cancel(const std::string& id, const callers::Caller& caller, Millis give_up,
+                Millis give_up_at, WriteReply done);
+    /// Writes a cancellation if the job exists and `caller` may see it, retrying until
+    /// `deadline`.
+    void cancel(const std::string& id, const callers::Caller& caller, Millis give_up_at,
                 WriteReply done);
 
 private:
     struct Entry {
         std::string id;
         RowKey row;
-        bool is_job = false; ///< Not a cancellation.
+        bool is_job = false; ///< False for a cancellation.
         std::string value;
         std::string workspace;
-        Millis give_up;
-        bool in_doubt = false; ///< It was sent without an answer.
+        Millis give_up_at;
+        bool in_doubt = false; ///< It was sent and got no reply.
         std::vector<WriteReply> done;
     };
     using EntryPtr = std::shared_ptr<Entry>;
     struct Partition {
         std::deque<EntryPtr> waiting;
-        std::vector<EntryPtr> under_way;
+        std::vector<EntryPtr> in_flight;
         bool busy = false;
         std::unique_ptr<StoreWriter> writer;
     };
 
-    void add(const std::string& part, EntryPtr entry);
-    void flush(const std::string& part);
-    void answered(const std::string& part, const StoreResult& result);
+    void add(const std::string& partition, EntryPtr entry);
+    void flush(const std::string& partition);
+    void answered(const std::string& partition, const StoreResult& result);
     void finish(const EntryPtr& entry, const WriteResult& result);
     static std::optional<WriteResult> outcome_from_rows(const Entry& entry,
                                                         const StoreResult& result);
-    void expire_entries(Partition& part);
+    void expire_entries(Partition& partition);
 
-    /// What the store says of a job.
+    /// Presence of a job in the store.
     enum class Presence { open, closed, missing, undetermined };
     using LookUpReply = std::function<void(Presence, const std::string& workspace)>;
-    void look_up(const RowKey& row, Millis give_up, LookUpReply done);
-    void record_cancel(const std::string& id, Millis give_up, WriteReply done);
+    void look_up(const RowKey& row, Millis give_up_at, LookUpReply done);
+    void record_cancel(const std::string& id, Millis give_up_at, WriteReply done);
 
     EventLoop& m_loop;
     StoreHealth& m_store;
--- a/src/jobs.lib/acceptor_test.cpp
+++ b/src/jobs.lib/acceptor_test.cpp
@@ -2,8 +2,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// What an acceptor says of hand-ins and cancellations whose writes are lost, late or
-/// mixed with those of others.
+/// Outcomes that an acceptor reports for submissions and cancellations whose writes are
+/// lost, late or combined with others.
 
 #define BOOST_TEST_MODULE acceptor
 #include <boost/test/unit_test.hpp>
@@ -24,27 +24,27 @@
 
 namespace {
 
-constexpr Millis long_try { 5000 };
+constexpr Millis write_time { 5000 };
 
 struct LogFixture {
     LogFixture() { start_log("test", LogLevel::error); }
 };
 
-/// Passes reads on to a store and keeps writes back until they are released.
-class DetainingStore : public JobStore {
+/// Forwards reads to a store and holds writes until they are released.
+class HoldingStore : public JobStore {
 public:
-    DetainingStore(emulator::Store& store, emulator::ProcessLoop& loop)
+    HoldingStore(emulator::Store& store, emulator::ProcessLoop& loop)
         : m_store(store)
         , m_port(store, loop, "n1")
     {
     }
 
-    bool detains = true; ///< Writes are kept and get no answer.
+    bool holds = true; ///< Writes are held and get no reply.
 
     void write(const StoreWrite& write, Millis timeout, StoreReply done) override
     {
-        if (detains)
-            m_kept.push_back(write);
+        if (holds)
+            m_held.push_back(write);
         else
             m_port.write(write, timeout, std::move(done));
     }
@@ -58,27 +58,27 @@
         m_port.watch(table, version, wait, std::move(done));
     }
 
-    /// Returns how many writes were kept and not released.
-    size_t kept() const { return m_kept.size(); }
-    /// Does the oldest kept write; its caller gets no answer.
+    /// Returns the number of writes that are held.
+    size_t held() const { return m_held.size(); }
+    /// Executes the oldest held write; its caller gets no reply.
     void release_oldest()
     {
-        m_store.write_now(m_kept.front());
-        m_kept.pop_front();
+        m_store.write_now(m_held.front());
+        m_held.pop_front();
     }
 
 private:
     emulator::Store& m_store;
     emulator::StorePort m_port;
-    std::deque<StoreWrite> m_kept;
+    std::deque<StoreWrite> m_held;
 };
 
-/// An acceptor on a store that keeps writes back, and what it has answered.
-struct DetainedAcceptor {
+/// An acceptor on a store that holds writes, and the outcomes that it reported.
+struct HeldAcceptor {
     emulator::World world { 5 };
     emulator::Store store { world };
     emulator::ProcessLoop loop { world };
-    DetainingStore port { store, loop };
+    HoldingStore port { store, loop };
     Metrics metrics;
     StoreHealth health { loop, port, metrics };
     Acceptor acceptor { loop, health };
@@ -86,39 +86,39 @@
 
     void accept(const std::string& id)
     {
-        acceptor.accept(id, "row of " + id, "", world.now() + long_try,
+        acceptor.accept(id, "row of " + id, "", world.now() + write_time,
                         [this, id](WriteResult result) { outcomes[id] = result.outcome; });
     }
     void cancel(const std::string& id)
     {
-        acceptor.cancel(id, {}, world.now() + long_try, [this, id](WriteResult result) {
+        acceptor.cancel(id, {}, world.now() + write_time, [this, id](WriteResult result) {
             outcomes[id + cancel_suffix] = result.outcome;
         });
     }
-    /// Puts a row as another node would.
+    /// Writes a row, as another node would.
     void put(const RowKey& row, const std::string& value)
     {
         StoreWrite write;
         write.puts.push_back({ row, value });
         store.write_now(write);
     }
-    /// Returns whether a hand-in was said to be written.
-    bool said_written(const std::string& name) const
+    /// Returns whether `written` was reported.
+    bool reported_written(const std::string& name) const
     {
         const auto found = outcomes.find(name);
         return found != outcomes.end() && found->second == WriteOutcome::written;
     }
-    /// Runs until so many writes have been sent and kept.
-    void run_until_kept(size_t count)
+    /// Runs until `count` writes are held.
+    void run_until_held(size_t count)
     {
-        for (int i = 0; i < 1000 && port.kept() < count; ++i)
+        for (int i = 0; i < 1000 && port.held() < count; ++i)
             world.run_for(Millis(5));
-        BOOST_REQUIRE(port.kept() >= count);
+        BOOST_REQUIRE(port.held() >= count);
     }
 };
 
-/// Returns the ids of `count` jobs whose rows lie in one part.
-std::vector<std::string> ids_of_one_part(size_t count)
+/// Returns the ids of `count` jobs whose rows are in the same partition.
+std::vector<std::string> ids_of_one_partition(size_t count)
 {
     std::vector<std::string> ids;
     for (int i = 0; ids.size() < count; ++i) {
@@ -133,68 +133,68 @@
 
 BOOST_GLOBAL_FIXTURE(LogFixture);
 
-// Found on the bench (LOST, random days with a store that loses answers): a write of two
-// jobs got no answer, and the row of the first was there, put by an earlier write that was
-// done late. The second was accepted without being in the store; the next leader did not
-// know it.
-BOOST_AUTO_TEST_CASE(a_row_of_an_earlier_write_says_nothing_of_the_others)
+// Guards against a job that is reported as accepted but not stored: a write of two jobs got
+// no reply, and the row of the first job was there, from an earlier write that was executed
+// late. The second job was reported as accepted without being stored, and the next leader
+// did not know it.
+BOOST_AUTO_TEST_CASE(a_row_of_an_earlier_write_proves_nothing_about_the_others)
 {
-    const auto ids = ids_of_one_part(2);
-    DetainedAcceptor cell;
+    const auto ids = ids_of_one_partition(2);
+    HeldAcceptor cell;
     cell.accept(ids[0]);
-    cell.run_until_kept(1);
+    cell.run_until_held(1);
     cell.world.run_for(Millis(20));
-    cell.accept(ids[1]); // It joins the second write.
-    cell.run_until_kept(2);
+    cell.accept(ids[1]); // It is part of the second write.
+    cell.run_until_held(2);
     cell.port.release_oldest();
-    cell.run_until_kept(2); // A third one, once the second is given up.
+    cell.run_until_held(2); // A third one, after the second one timed out.
     for (int i = 0; i < 100; ++i) {
         cell.world.run_for(Millis(10));
         for (const std::string& id : ids) {
-            if (cell.said_written(id))
+            if (cell.reported_written(id))
                 BOOST_TEST(!cell.store.value(job_row(id)).empty(), id);
         }
     }
-    cell.port.detains = false;
-    cell.world.run_for(long_try);
+    cell.port.holds = false;
+    cell.world.run_for(write_time);
     for (const std::string& id : ids) {
-        BOOST_TEST(cell.said_written(id), id);
+        BOOST_TEST(cell.reported_written(id), id);
         BOOST_TEST(!cell.store.value(job_row(id)).empty(), id);
     }
 }
 
-// The same by another node: two callers cancel one job at two nodes, and a hand-in shares
-// the transaction of one of them.
-BOOST_AUTO_TEST_CASE(a_cancellation_of_another_node_says_nothing_of_a_hand_in)
+// The same with a row of another node: two callers cancel one job through two nodes, and a
+// submission shares the transaction of one of them.
+BOOST_AUTO_TEST_CASE(a_cancellation_of_another_node_proves_nothing_about_a_submission)
 {
-    const auto ids = ids_of_one_part(2);
-    DetainedAcceptor cell;
+    const auto ids = ids_of_one_partition(2);
+    HeldAcceptor cell;
     cell.put(job_row(ids[0]), "row");
-    cell.port.detains = false;
+    cell.port.holds = false;
     cell.world.run_for(Millis(50));
-    cell.port.detains = true;
+    cell.port.holds = true;
     cell.cancel(ids[0]);
-    cell.run_until_kept(1);
+    cell.run_until_held(1);
     cell.accept(ids[1]);
-    cell.run_until_kept(2);
+    cell.run_until_held(2);
     cell.put(cancel_row(ids[0]), "1");
     for (int i = 0; i < 100; ++i) {
         cell.world.run_for(Millis(10));
-        if (cell.said_written(ids[1]))
+        if (cell.reported_written(ids[1]))
             BOOST_TEST(!cell.store.value(job_row(ids[1])).empty());
     }
-    cell.port.detains = false;
-    cell.world.run_for(long_try);
-    BOOST_TEST(cell.said_written(ids[0] + cancel_suffix));
-    BOOST_TEST(cell.said_written(ids[1]));
+    cell.port.holds = false;
+    cell.world.run_for(write_time);
+    BOOST_TEST(cell.reported_written(ids[0] + cancel_suffix));
+    BOOST_TEST(cell.reported_written(ids[1]));
     BOOST_TEST(!cell.store.value(job_row(ids[1])).empty());
 }
 
-// Hand-ins and cancellations in few parts while the store loses answers, is slow, and does
-// writes late: what was said to be written is there.
-BOOST_AUTO_TEST_CASE(whatever_is_said_to_be_written_is_in_the_store)
+// Submissions in one partition while the store loses replies, is slow and executes writes
+// late: whatever is reported as written must be stored.
+BOOST_AUTO_TEST_CASE(reported_writes_are_in_the_store)
 {
-    const auto ids = ids_of_one_part(40);
+    const auto ids = ids_of_one_partition(40);
     for (uint64_t seed = 1; seed <= 60; ++seed) {
         emulator::World world { seed };
         emulator::Store store { world };
@@ -203,29 +203,29 @@
         Metrics metrics;
         StoreHealth health { loop, port, metrics };
         Acceptor acceptor { loop, health };
-        int wrong = 0;
+        int not_stored = 0;
         store.injected.lost_write_replies = 0.6;
         store.injected.delay_lost_writes = true;
         for (const std::string& id : ids) {
-            acceptor.accept(id, "row of " + id, "", world.now() + long_try,
-                            [&store, &wrong, id](WriteResult result) {
+            acceptor.accept(id, "row of " + id, "", world.now() + write_time,
+                            [&store, &not_stored, id](WriteResult result) {
                                 if (result.outcome == WriteOutcome::written
                                     && store.value(job_row(id)).empty())
-                                    ++wrong;
+                                    ++not_stored;
                             });
             store.injected.latency_factor = world.chance(0.2) ? 40 : 1;
             world.run_for(Millis(int64_t(world.random_below(120))));
         }
-        world.run_for(long_try);
-        BOOST_TEST(wrong == 0, "seed " << seed << ": " << wrong);
+        world.run_for(write_time);
+        BOOST_TEST(not_stored == 0, "seed " << seed << ": " << not_stored);
     }
 }
 
-// The picture of the incident: the job is accepted and announced, its tasks run and fail
-// once, and the next leader knows nothing of it.
+// Guards against an accepted job that is lost with its leader: the job is accepted and
+// announced, its tasks run and fail once, and the next leader does not know it.
 BOOST_AUTO_TEST_CASE(accepted_jobs_outlive_their_leader_when_answers_are_lost)
 {
-    const auto ids = ids_of_one_part(60);
+    const auto ids = ids_of_one_partition(60);
     for (uint64_t seed = 1; seed <= 20; ++seed) {
         emulator::Cell cell(seed, 3, 6);
         cell.world.run_for(Millis(2000));
@@ -260,8 +260,9 @@
     }
 }
 
-// What an acceptor says, against what the store holds ten seconds later.
-BOOST_AUTO_TEST_CASE(outcomes_of_hand_ins_hold)
+// Compares the reported outcomes with the content of the store, at once and 15 seconds
+// later.
+BOOST_AUTO_TEST_CASE(outcomes_of_submissions_hold)
 {
     int refused = 0;
     int in_doubt = 0;
@@ -299,7 +300,7 @@
             store.injected.unresponsive = world.chance(0.05);
             store.injected.latency_factor = world.chance(0.3) ? 60 : 1;
             if (world.chance(0.2)) {
-                // A hand-in that is still under way may come after the cancellation looked.
+                // A submission in flight may be stored after the cancellation read the row.
                 const bool was_there = stored(job_row(id)) > 0;
                 node.cancel(id, {}, world.now() + Millis(1200),
                             [&, id, was_there](WriteResult result) {
--- a/src/jobs.lib/answer_lag.cpp
+++ b/src/jobs.lib/answer_lag.cpp
@@ -10,35 +10,35 @@
 
 namespace {
 
-/// A process that is late gets later still while its load lasts.
-constexpr double reserve = 1.5;
-/// What an answer tells fades by half in this time, so that a pause of the process is
-/// forgotten within seconds; while the process stays late each answer tells it anew.
+/// A process that is late falls further behind while its load lasts.
+constexpr double safety_factor = 1.5;
+/// Half-life of an answer's lateness: a pause of the process is forgotten within seconds,
+/// while a process that stays late renews the estimate with each answer.
 constexpr double half_life_ms = 500;
-/// A single answer fades it by no more than this, however long it was waited for: silence
-/// does not tell that answers are in time.
-constexpr Millis longest_fading { 200 };
+/// Maximum time for which a single answer decays the estimate, however long it was waited
+/// for: silence is no evidence that answers are on time.
+constexpr Millis max_decay_time { 200 };
 
 } // namespace
 
-AnswerLag::AnswerLag(Millis least, Millis most)
-    : m_min(least)
-    , m_max(most)
+AnswerLag::AnswerLag(Millis min_margin, Millis max_margin)
+    : m_min(min_margin)
+    , m_max(max_margin)
 {
 }
 
-void AnswerLag::add_sample(Millis beyond, Millis now)
+void AnswerLag::add_sample(Millis lateness, Millis now)
 {
-    const Millis passed = std::min(now - m_noted, longest_fading);
+    const Millis elapsed = std::min(now - m_noted, max_decay_time);
     m_noted = now;
-    m_lateness_ms *= std::exp2(-double(passed.count()) / half_life_ms);
-    m_lateness_ms = std::max(m_lateness_ms, double(beyond.count()));
+    m_lateness_ms *= std::exp2(-double(elapsed.count()) / half_life_ms);
+    m_lateness_ms = std::max(m_lateness_ms, double(lateness.count()));
 }
 
 Millis AnswerLag::margin() const
 {
-    const Millis wanted(static_cast<int64_t>(std::ceil(reserve * m_lateness_ms)));
-    return std::clamp(wanted, m_min, m_max);
+    const Millis needed(static_cast<int64_t>(std::ceil(safety_factor * m_lateness_ms)));
+    return std::clamp(needed, m_min, m_max);
 }
 
 } // namespace pathport::jobs
--- a/src/jobs.lib/answer_lag.h
+++ b/src/jobs.lib/answer_lag.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// How much later than due answers are read here, learned from those that came.
+/// Estimates how late this process reads answers, from those that it received.
 
 #pragma once
 
@@ -10,25 +10,26 @@
 
 namespace pathport::jobs {
 
-/// How long an answer is waited for beyond the time that its call may take. A process that
-/// is short of processor time reads answers late; taken for lost, they would be asked for
-/// again, which is one more load on it. So the wait follows the latest answers, also those
-/// that came after their calls were given up, and shrinks again while answers are in time.
+/// Margin that is added to the time-outs of calls. A process that is short of processor
+/// time reads answers late; if it took them for lost and repeated the calls, it would add
+/// to its own load. The margin therefore follows the latest answers, including those
+/// received after their calls timed out, and shrinks again while answers are on time.
 class AnswerLag {
 public:
-    /// The wait is at least `least` and at most `most`.
-    AnswerLag(Millis least, Millis most);
+    /// The margin lies between `min_margin` and `max_margin`.
+    AnswerLag(Millis min_margin, Millis max_margin);
 
-    /// An answer came `beyond` the time of its call; below zero when it was in time.
-    void add_sample(Millis beyond, Millis now);
-    /// Returns how long an answer should be waited for beyond the time of its call.
+    /// Records an answer that arrived `lateness` after its call timed out; negative if it
+    /// was on time.
+    void add_sample(Millis lateness, Millis now);
+    /// Returns how long to wait for an answer beyond its call's time-out.
     Millis margin() const;
 
 private:
     Millis m_min;
     Millis m_max;
-    double m_lateness_ms = 0; ///< The latest answer of all, faded by those since.
-    Millis m_noted; ///< When the last one came.
+    double m_lateness_ms = 0; ///< Maximum lateness, decayed with each later answer.
+    Millis m_noted; ///< When the last answer was recorded.
 };
 
 } // namespace pathport::jobs
--- a/src/jobs.lib/head_log.cpp
+++ b/src/jobs.lib/head_log.cpp
@@ -15,35 +15,37 @@
 
 namespace {
 
-/// Pause between the starts of two writes, so that rows share transactions. A job's row is
-/// written anew for each of its tasks that starts or ends, so a longer pause writes fewer.
-constexpr Millis least_spacing { 16 };
-/// No pause is longer: starts wait for their records.
-constexpr Millis most_spacing { 100 };
-/// The rows of a write take one part in so many of the processor's time and of the link at
-/// most: unspaced they took 100 of 250 kB/s at 350 starts and ends a second.
-constexpr int64_t processor_share = 8;
-constexpr int64_t link_share = 5;
-constexpr Millis gathering_time { 3 };
-/// A write is made at least so often, to renew the lease.
+/// Minimum time between the starts of two writes, so that rows share transactions. Each
+/// start and end of a task rewrites its job's row, so longer pauses mean fewer writes.
+constexpr Millis min_spacing { 16 };
+/// Maximum of that time, since starts of tasks wait for their records.
+constexpr Millis max_spacing { 100 };
+/// The rows of writes use at most 1/8 of the processor time and 1/5 of the link: without
+/// spacing they used 100 of 250 kB/s at 350 starts and ends per second.
+constexpr int64_t processor_divisor = 8;
+constexpr int64_t link_divisor = 5;
+constexpr Millis batch_delay { 3 };
+/// Maximum time between writes, so that the lease is renewed.
 constexpr Millis renewal_interval { 400 };
-/// A last write that began longer ago means that the store is away; the second holds while
-/// it is known to be slow.
-constexpr Millis usual_write_age { 900 };
-constexpr Millis slow_write_age { 2600 };
-/// A write that took longer is told of in the log.
-constexpr Millis slow_write { 100 };
-/// Pause before a write is sent again that was refused.
-constexpr Millis refused_pause { 60 };
-/// A log counts its writes from a random number below this on.
-constexpr uint64_t first_number_bound = uint64_t(1) << 40;
-/// What silent workers may take of the head row, of which the platform's store takes 65,536
-/// bytes (row_bytes): the ids of 1,100 workers twice leave as much again.
-constexpr size_t most_silent_bytes = 24000;
-/// Where the row's array holds them.
-constexpr size_t silent_field = 4;
-/// Rows in one transaction beside the head row, its check and the leader row.
-constexpr size_t most_rows = max_transaction_entries - 3;
+/// If the last write started longer ago, the store counts as unavailable; the second value
+/// holds while the store is known to be slow.
+constexpr Millis max_write_age { 900 };
+constexpr Millis max_slow_write_age { 2600 };
+/// Slower writes are logged.
+constexpr Millis slow_write_threshold { 100 };
+/// Delay before a refused write is sent again.
+constexpr Millis refused_retry_delay { 60 };
+/// A log numbers its writes from a random start below this.
+constexpr uint64_t start_number_bound = uint64_t(1) << 40;
+/// Maximum size of the list of silent workers in the head row. The platform's store limits
+/// a row to 65,536 bytes (row_bytes), of which as much again stays free with the ids of
+/// 1,100 workers listed twice.
+constexpr size_t max_silent_bytes = 24000;
+/// Index of the silent workers in the row's JSON array.
+constexpr size_t silent_index = 4;
+/// Maximum number of rows in one transaction besides the head row, its check and the leader
+/// row.
+constexpr size_t max_rows = max_transaction_entries - 3;
 
 } // namespace
 
@@ -70,15 +72,15 @@
                          json.at(2).get<std::string>(),
                          {},
                          {} };
-        // Earlier versions only said whether there may be such tasks.
+        // Earlier versions only stored whether there may be such tasks.
         if (json.at(3).is_array())
             head.unrecorded_task_workers = json.at(3).get<std::vector<std::string>>();
         else if (json.at(3).get<bool>())
             head.unrecorded_task_workers = { any_worker };
-        // Earlier versions named no silent workers.
-        if (json.size() > silent_field)
+        // Earlier versions stored no silent workers.
+        if (json.size() > silent_index)
             head.silent = SilentWorkers::from_groups(
-                json.at(silent_field).get<std::vector<SilentWorkers::Group>>());
+                json.at(silent_index).get<std::vector<SilentWorkers::Group>>());
         return head;
     } catch (const nlohmann::json::exception&) {
         return std::nullopt;
@@ -100,14 +102,15 @@
     , m_version(version)
     , m_lease_until(claimed + leader_lease)
     , m_last_write_start(claimed)
-    , m_spacing(least_spacing)
+    , m_spacing(min_spacing)
     , m_writer(loop, store, mechanisms)
 {
-    // What the claim's row says holds until a write of this log replaces it.
+    // The head row of the claim is valid until a write of this log replaces it.
     m_committed.head = m_head;
     m_prepared.head = m_head;
-    // Writes of another log under the same claim, if there ever is one, have other numbers.
-    m_head.number = static_cast<int64_t>(loop.random() % first_number_bound);
+    // The random start keeps the heads of a second log under the same claim, if there ever
+    // is one, distinct.
+    m_head.number = static_cast<int64_t>(loop.random() % start_number_bound);
     schedule(renewal_interval);
 }
 
@@ -122,7 +125,8 @@
     }
     if (done)
         entry->second.done.push_back(std::move(done));
-    // An end and the intents of the pass that follows it share a transaction.
+    // The end of a task and the intents of the following scheduling pass share a
+    // transaction.
     write_soon();
 }
 
@@ -131,7 +135,7 @@
     if (m_closed || m_sending || m_pending_write)
         return;
     const Millis since = m_loop.now() - m_last_write_start;
-    schedule(std::max(gathering_time, m_spacing - since));
+    schedule(std::max(batch_delay, m_spacing - since));
 }
 
 void HeadLog::hand_over(std::string leader_row, std::string incarnation,
@@ -165,7 +169,7 @@
 {
     const Millis last_write = m_lease_until - leader_lease;
     const Millis allowed
-        = m_committed.early_orders_allowed ? slow_write_age : usual_write_age;
+        = m_committed.early_orders_allowed ? max_slow_write_age : max_write_age;
     return m_served && m_loop.now() - last_write < allowed;
 }
 
@@ -204,28 +208,29 @@
     send();
 }
 
-// Spaces writes by what the last one took.
-void HeadLog::adapt_spacing(Millis filling, size_t bytes)
+// Adapts the spacing of writes to the cost of the last one.
+void HeadLog::adapt_spacing(Millis preparation, size_t bytes)
 {
-    Millis wanted = Millis(filling.count() * processor_share);
+    Millis spacing = Millis(preparation.count() * processor_divisor);
     if (m_link_bytes_per_s > 0) {
-        constexpr int64_t millis_of_a_second = 1000;
+        constexpr int64_t ms_per_second = 1000;
         const auto sent = static_cast<int64_t>(bytes);
-        wanted = std::max(
-            wanted, Millis(sent * link_share * millis_of_a_second / m_link_bytes_per_s));
+        spacing = std::max(
+            spacing, Millis(sent * link_divisor * ms_per_second / m_link_bytes_per_s));
     }
-    m_spacing = std::clamp(wanted, least_spacing, most_spacing);
+    m_spacing = std::clamp(spacing, min_spacing, max_spacing);
 }
 
 void HeadLog::prepare_write()
 {
-    const Millis begun = m_loop.now();
+    const Millis started_at = m_loop.now();
     m_write = {};
     m_write.checks.push_back({ lead_row(head_key), m_version });
     m_write.puts.push_back({ lead_row(head_key), {} });
     size_t bytes = 0;
-    const size_t most = m_mechanisms.uses(Mechanism::write_batching) ? most_rows : 1;
-    while (!m_queue.empty() && m_in_flight.size() < most && bytes < max_transaction_bytes) {
+    const size_t row_limit = m_mechanisms.uses(Mechanism::write_batching) ? max_rows : 1;
+    while (!m_queue.empty() && m_in_flight.size() < row_limit
+           && bytes < max_transaction_bytes) {
         const std::string job = m_queue.front();
         m_queue.pop_front();
         const auto entry = m_waiting.find(job);
@@ -241,19 +246,20 @@
     }
     prepare_head();
     m_pending_write = true;
-    adapt_spacing(m_loop.now() - begun, bytes);
+    adapt_spacing(m_loop.now() - started_at, bytes);
 }
 
 void HeadLog::prepare_head()
 {
-    const bool last = m_successor && m_queue.empty();
-    // Once the store is quick again and this write holds all that waits, what comes later
-    // is recorded first.
-    m_prepared.early_orders_allowed = !last && (m_writer.slow() || !m_queue.empty())
+    const bool names_successor = m_successor && m_queue.empty();
+    // When the store is fast again and this write contains all pending rows, later orders
+    // are sent only after they are recorded.
+    m_prepared.early_orders_allowed = !names_successor
+        && (m_writer.slow() || !m_queue.empty())
         && m_mechanisms.uses(Mechanism::early_orders);
     ++m_head.number;
-    if (last) {
-        // A head that no claim writes, so that it proves this write alone.
+    if (names_successor) {
+        // No claim writes a negative number, so this head identifies this write alone.
         m_head.number = -m_head.number;
         ++m_head.epoch;
         m_head.incarnation = m_successor->incarnation;
@@ -263,7 +269,7 @@
     m_head.unrecorded_task_workers
         = m_owner.unrecorded_workers(m_prepared.early_orders_allowed);
     SilentWorkers silent = m_owner.silent_workers();
-    silent.truncate_to(most_silent_bytes);
+    silent.truncate_to(max_silent_bytes);
     m_head.silent = silent.rounded();
     m_prepared.head = m_head;
     m_write.puts.front().value = encode(m_head);
@@ -272,65 +278,66 @@
 void HeadLog::send()
 {
     m_sending = true;
-    const Millis asked = m_loop.now();
-    m_last_write_start = asked;
-    m_writer.send(m_write, [this, asked](const StoreResult& result) {
+    const Millis sent_at = m_loop.now();
+    m_last_write_start = sent_at;
+    m_writer.send(m_write, [this, sent_at](const StoreResult& result) {
         m_sending = false;
-        answered(result, asked);
+        answered(result, sent_at);
     });
 }
 
-void HeadLog::answered(const StoreResult& result, Millis asked)
+void HeadLog::answered(const StoreResult& result, Millis sent_at)
 {
     if (m_closed)
         return;
-    const Millis took = m_loop.now() - asked;
-    if (took > slow_write || result.status != StoreStatus::ok)
+    const Millis elapsed = m_loop.now() - sent_at;
+    if (elapsed > slow_write_threshold || result.status != StoreStatus::ok)
         log_event(LogLevel::info, "log_write_slow",
                   { { "epoch", m_head.epoch },
                     { "status", to_string(result.status) },
                     { "rows", static_cast<int64_t>(m_in_flight.size()) },
                     { "waiting", static_cast<int64_t>(m_queue.size()) },
                     { "unrecorded_orders", m_prepared.early_orders_allowed ? "yes" : "no" },
-                    { "after_ms", took.count() } });
+                    { "after_ms", elapsed.count() } });
     switch (result.status) {
     case StoreStatus::ok:
-        committed(result.version, asked);
+        committed(result.version, sent_at);
         return;
     case StoreStatus::conflict:
         if (const StoredRow* head = own_head(result))
-            committed(head->version, asked);
+            committed(head->version, sent_at);
         else
             handle_fenced();
         return;
     case StoreStatus::refused:
     case StoreStatus::history_lost:
         m_served = false;
-        schedule(refused_pause);
+        schedule(refused_retry_delay);
         return;
     case StoreStatus::unknown:
         if (const StoredRow* head = own_head(result)) {
-            committed(head->version, asked);
+            committed(head->version, sent_at);
             return;
         }
-        // The same write goes out again: its check lets it take effect once at most.
+        // The same write is sent again; its check ensures that it takes effect at most
+        // once.
         m_served = false;
         schedule(Millis(1));
         return;
     }
 }
 
-void HeadLog::committed(int64_t version, Millis asked)
+void HeadLog::committed(int64_t version, Millis sent_at)
 {
     m_served = true;
     m_version = version;
-    m_lease_until = asked + leader_lease;
+    m_lease_until = sent_at + leader_lease;
     m_pending_write = false;
     m_committed = m_prepared;
     std::vector<Entry> written;
     written.swap(m_in_flight);
     const bool handed_over = m_successor && m_successor->written;
-    const Millis since = m_loop.now() - asked;
+    const Millis since = m_loop.now() - sent_at;
     if (handed_over)
         m_closed = true;
     else
@@ -354,9 +361,9 @@
         m_owner.early_orders_enabled();
 }
 
-// Returns the head row among those of a result if it is the one of the present write. Each
-// write has a head of its own, so an earlier sending of it took effect, and nobody had
-// claimed the leadership when the row was seen.
+// Returns the head row of a result if the present write wrote it. Each write has a unique
+// head, so in that case an earlier attempt took effect, and no other node had claimed
+// leadership when the row was read.
 const StoredRow* HeadLog::own_head(const StoreResult& result) const
 {
     for (const StoredRow& row : result.rows) {
--- a/src/jobs.lib/head_log.h
+++ b/src/jobs.lib/head_log.h
@@ -2,9 +2,9 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// The leader's writes: one transaction after another, chained by the version of the head
-/// row. Each renews the leader's lease; none can take effect after a later one or after a
-/// successor's claim.
+/// The leader's write log: a sequence of transactions, each conditional on the version of
+/// the head row that the previous one wrote. Each write renews the leader's lease; none can
+/// take effect after a later write or after a successor's claim.
 
 #pragma once
 
@@ -25,21 +25,21 @@
 
 namespace pathport::jobs {
 
-/// How long a leader may give orders after the start of its last successful write.
+/// How long a leader may send orders, counted from the start of its last successful write.
 constexpr Millis leader_lease { 2500 };
 
-/// What the head row holds.
+/// Content of the head row.
 struct HeadValue {
     int64_t epoch = 0;
-    /// Of the write within the epoch: 0 for a claim, above it for the leader's writes,
-    /// below it for the write by which the leader before made this one its successor.
+    /// Number of the write within the epoch: 0 for a claim, positive for the leader's
+    /// writes, negative for the write by which the previous leader made this one its
+    /// successor.
     int64_t number = 0;
-    std::string incarnation; ///< Of the writer.
-    /// Workers that may run tasks of which no record tells: this leader's orders may
-    /// precede their records there, or an earlier leader's did and its tasks are not known
-    /// yet.
+    std::string incarnation; ///< Process that wrote the row.
+    /// Workers that may run tasks without a record: this leader may send orders there
+    /// before it records them, or an earlier leader did and its tasks are not known yet.
     std::vector<std::string> unrecorded_task_workers;
-    /// Workers at which the leader renews no lease.
+    /// Workers whose lease the leader does not renew.
     SilentWorkers silent {};
 
     bool operator==(const HeadValue& other) const
@@ -49,87 +49,88 @@
             && unrecorded_task_workers == other.unrecorded_task_workers
             && silent == other.silent;
     }
-    /// Returns whether it was written by the leader before, on behalf of its successor.
+    /// Returns whether the previous leader wrote it on behalf of its successor.
     bool handed_over() const { return number < 0; }
-    /// Returns whether `worker` is among those of `unrecorded_on`.
+    /// Returns whether `worker` may run tasks without a record.
     bool may_run_unrecorded(const std::string& worker) const;
 };
 
-/// In place of workers in HeadValue::unrecorded_on: any worker may run such tasks.
+/// In HeadValue::unrecorded_task_workers: any worker may run such tasks.
 inline const char* const any_worker = "*";
 
 std::string encode(const HeadValue& head);
-/// Returns what is to be assumed when the head row can't be read.
+/// Returns the content to assume if the head row can't be decoded.
 HeadValue unreadable_head();
 std::optional<HeadValue> decode_head(const std::string& text);
 
-/// Gives the present value of rows and hears of the log's fate.
+/// Provides the current values of rows and receives the log's events.
 class HeadLogOwner {
 public:
     virtual ~HeadLogOwner() = default;
 
-    /// Returns the progress row of `job` as it is to be written; nothing when the row is to
-    /// be removed.
+    /// Returns the value to write to the progress row of `job`, or nothing to remove the
+    /// row.
     virtual std::optional<std::string> progress_of(const std::string& job) = 0;
     /// Returns the workers that may run tasks without a record until the next write: those
-    /// that earlier leaders left, and, when `orders_precede`, all that may be given orders.
-    virtual std::vector<std::string> unrecorded_workers(bool orders_precede) = 0;
-    /// Returns the workers at which no lease is renewed until a later write leaves them
-    /// out.
+    /// inherited from earlier leaders and, if `early_orders`, all that may get orders.
+    virtual std::vector<std::string> unrecorded_workers(bool early_orders) = 0;
+    /// Returns the workers whose lease is not renewed until a later write omits them.
     virtual SilentWorkers silent_workers() = 0;
-    /// A write is in the store; workers that it does not name may be leased to.
+    /// Called after a write took effect; workers that it does not list may get leases.
     virtual void head_written() = 0;
-    /// Orders may precede their records at the workers that the head row names now.
+    /// Called when orders may be sent before they are recorded, to the workers that the
+    /// head row lists now.
     virtual void early_orders_enabled() = 0;
-    /// The head row has been changed by another leader; nothing more can be written.
+    /// Called when another leader has changed the head row, so nothing more can be written.
     virtual void log_fenced() = 0;
 };
 
-/// The log.
+/// The leader's write log.
 class HeadLog {
 public:
-    /// Starts the log after the claim that wrote `head` with `version`, begun at `claimed`.
+    /// Starts the log after the claim that was sent at `claimed` and wrote `head` at
+    /// `version`.
     HeadLog(EventLoop& loop, JobStore& store, HeadLogOwner& owner, HeadValue head,
             int64_t version, Millis claimed, Mechanisms mechanisms = {});
 
-    /// Has the progress row of `job` written with its value as of the write, which begins
-    /// after this call; `done` is called when it is in the store.
+    /// Schedules a write of the progress row of `job`, with its value at the time of the
+    /// write, which starts after this call; `done` is called once it is stored.
     void record(const std::string& job, std::function<void()> done = {});
 
-    /// Calls `done` when all that was handed in for `job` so far is in the store; at once
-    /// if it is already.
+    /// Calls `done` once all previous calls of record() for `job` are stored; at once if
+    /// they are already.
     void when_recorded(const std::string& job, std::function<void()> done);
 
-    /// Sets what the node's link moves in a second, in bytes; 0 for no bound.
+    /// Sets the bandwidth of the node's link in bytes per second; 0 for unlimited.
     void set_link_rate(int64_t bytes) { m_link_bytes_per_s = bytes; }
 
-    /// Makes another node the leader by the next write that holds all that waits: it puts
-    /// `leader_row` and a head of the next epoch for `incarnation`. Nothing can be written
-    /// after it. `done` is called when it has taken effect.
+    /// Makes another node the leader with the next write that contains all pending rows: it
+    /// also writes `leader_row` and a head of the next epoch for `incarnation`. Nothing can
+    /// be written after it. `done` is called when it has taken effect.
     void hand_over(std::string leader_row, std::string incarnation,
                    std::function<void()> done);
-    /// Returns whether the store answers much slower than it should.
+    /// Returns whether the store is much slower than normal.
     bool slow() const { return m_writer.slow(); }
 
-    /// Returns until when the leader may give orders on the strength of its last write.
+    /// Returns until when the leader may send orders because of its last write.
     Millis lease_until() const { return m_lease_until; }
-    /// Returns whether the store serves this log: the last call was answered, and a write
-    /// has taken effect not long ago.
+    /// Returns whether the store serves this log: the last call was answered and a write
+    /// took effect recently.
     bool served() const;
-    /// Returns whether the store is so slow that orders may precede their records, at the
-    /// workers that the head row names.
+    /// Returns whether orders may be sent before they are recorded, because the store is
+    /// slow, to the workers that the head row lists.
     bool allows_early_orders() const { return m_committed.early_orders_allowed; }
     /// Returns whether an order to `worker` may be sent before it is recorded: the head row
-    /// says so, and no write is under way that denies it.
+    /// allows it, and no write in flight revokes it.
     bool may_order_early(const std::string& worker) const;
-    /// Returns whether a lease may be given to `worker`. A successor goes by the head row
-    /// that it finds, so neither that row nor a write under way may name it as silent.
+    /// Returns whether `worker` may get a lease. A successor relies on the head row that it
+    /// finds, so neither that row nor a write in flight may list the worker as silent.
     bool may_lease(const std::string& worker) const;
-    /// Has the head row written as soon as the spacing of writes allows.
+    /// Schedules a write of the head row as soon as the spacing of writes allows.
     void write_soon();
-    /// Returns whether everything handed in is in the store.
+    /// Returns whether all rows are stored.
     bool idle() const { return m_queue.empty() && m_in_flight.empty(); }
-    /// Returns the number of rows that wait to be written.
+    /// Returns the number of rows that are not stored yet.
     size_t backlog() const { return m_queue.size() + m_in_flight.size(); }
 
 private:
@@ -142,10 +143,10 @@
     void flush();
     void prepare_write();
     void prepare_head();
-    void adapt_spacing(Millis filling, size_t bytes);
+    void adapt_spacing(Millis preparation, size_t bytes);
     void send();
-    void answered(const StoreResult& result, Millis asked);
-    void committed(int64_t version, Millis asked);
+    void answered(const StoreResult& result, Millis sent_at);
+    void committed(int64_t version, Millis sent_at);
     const StoredRow* own_head(const StoreResult& result) const;
     void handle_fenced();
 
@@ -159,31 +160,31 @@
     Millis m_spacing; ///< Between the starts of two writes.
     int64_t m_link_bytes_per_s = 0;
     StoreWriter m_writer;
-    /// What a write says of orders without a record.
+    /// What a write allows about orders without a record.
     struct HeadState {
         bool early_orders_allowed = false;
         HeadValue head;
     };
-    HeadState m_committed; ///< By the last write that is in the store.
-    HeadState m_prepared; ///< By the last write that was filled.
+    HeadState m_committed; ///< Of the last write that took effect.
+    HeadState m_prepared; ///< Of the last write that was prepared.
     bool m_served = true;
     bool m_closed = false;
     bool m_sending = false;
     EventLoop::TimerId m_timer = 0;
     Millis m_timer_at;
-    std::deque<std::string> m_queue; ///< Jobs to write, each once.
-    std::map<std::string, Entry> m_waiting; ///< By job; those in m_queue.
-    std::vector<Entry> m_in_flight; ///< In the transaction that is being written.
-    /// What the last write of all is to say.
+    std::deque<std::string> m_queue; ///< Jobs to write, without duplicates.
+    std::map<std::string, Entry> m_waiting; ///< Entries of the jobs in m_queue.
+    std::vector<Entry> m_in_flight; ///< Entries of the transaction that is being written.
+    /// The successor to which the last write hands over.
     struct Successor {
         std::string leader_row;
         std::string incarnation;
         std::function<void()> done;
-        bool written = false; ///< The write that is being written says it.
+        bool written = false; ///< The present transaction contains it.
     };
     std::optional<Successor> m_successor;
     StoreWrite m_write; ///< The transaction that is being written.
-    bool m_pending_write = false; ///< m_write has not been resolved.
+    bool m_pending_write = false; ///< The outcome of m_write is not known yet.
     Lifetime m_lifetime;
 };
 
--- a/src/jobs.lib/head_log_test.cpp
+++ b/src/jobs.lib/head_log_test.cpp
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// The chain of a leader's writes.
+/// The sequence of a leader's writes, and what the head row guarantees to a successor.
 
 #define BOOST_TEST_MODULE head_log
 #include <boost/test/unit_test.hpp>
@@ -20,17 +20,17 @@
 
 namespace {
 
-/// Gives the same value for each job.
+/// Provides a fixed value for each job.
 class FixedOwner : public HeadLogOwner {
 public:
     std::optional<std::string> progress_of(const std::string& job) override
     {
         return "row of " + job;
     }
-    std::vector<std::string> unrecorded_workers(bool orders_precede) override
+    std::vector<std::string> unrecorded_workers(bool early_orders) override
     {
-        return orders_precede ? std::vector<std::string> { "w1" }
-                              : std::vector<std::string>();
+        return early_orders ? std::vector<std::string> { "w1" }
+                            : std::vector<std::string>();
     }
     SilentWorkers silent_workers() override { return {}; }
     void head_written() override { }
@@ -46,7 +46,7 @@
     return claim;
 }
 
-/// The log of a leader that has just claimed its place in a store of its own.
+/// The log of a leader that has just claimed leadership, with its own store.
 struct LoggedStore {
     explicit LoggedStore(uint64_t seed)
         : world(seed)
@@ -65,7 +65,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(leaders_writes_are_chained)
+BOOST_AUTO_TEST_CASE(leader_writes_are_chained)
 {
     LoggedStore logged(5);
     emulator::World& world = logged.world;
@@ -77,7 +77,7 @@
     world.run_for(Millis(100));
     BOOST_TEST(recorded);
     BOOST_TEST(store.value(progress_row("job")) == "row of job");
-    // Another leader's claim ends it: nothing more is written.
+    // Another leader's claim fences the log: nothing more is written.
     store.write_now(claim_of(HeadValue { 2, 0, "second", {} }));
     recorded = false;
     log.record("late", [&] { recorded = true; });
@@ -126,17 +126,17 @@
     BOOST_TEST((world.now() < log.lease_until()));
 }
 
-// Found on the bench (TWICE, random day b-15 of the kiosk): the write that says that
-// nothing goes unrecorded any more was under way while orders still preceded their records;
-// it took effect, the leader was gone, and its successor did not expect their runs.
-BOOST_AUTO_TEST_CASE(head_tells_of_all_orders_without_a_record)
+// Guards against a task that runs twice: the write that revokes early orders was still in
+// flight while orders were sent before their records. It took effect, the leader was lost,
+// and its successor did not expect the unrecorded runs.
+BOOST_AUTO_TEST_CASE(head_lists_all_unrecorded_orders)
 {
     for (uint64_t seed = 1; seed <= 40; ++seed) {
         LoggedStore logged(seed);
         emulator::World& world = logged.world;
         emulator::Store& store = logged.store;
-        std::set<std::string> sent; // Orders that preceded their records.
-        int untold = 0;
+        std::set<std::string> sent; // Orders sent before their records.
+        int unlisted = 0;
         for (int ms = 0; ms < 12000; ++ms) {
             if (ms % 2000 == 0)
                 store.injected.latency_factor = ms % 4000 == 0 ? 90 : 1;
@@ -152,15 +152,15 @@
                       return !store.value(progress_row(job)).empty();
                   });
             if (!all_recorded && !present->may_run_unrecorded("w1"))
-                ++untold;
+                ++unlisted;
         }
         BOOST_TEST(!sent.empty());
-        BOOST_TEST(untold == 0, "seed " << seed << ": " << untold << " ms");
+        BOOST_TEST(unlisted == 0, "seed " << seed << ": " << unlisted << " ms");
     }
 }
 
-// A write that was lost with the store's outage is sent again soon after it.
-BOOST_AUTO_TEST_CASE(log_is_written_soon_after_a_silent_store_is_back)
+// A write that was lost in a store outage must be sent again soon after the outage.
+BOOST_AUTO_TEST_CASE(log_is_written_soon_after_a_store_outage)
 {
     for (int outage_ms = 2000; outage_ms < 4000; outage_ms += 100) {
         LoggedStore logged(8);
@@ -177,7 +177,7 @@
 
 namespace {
 
-/// Names one worker as silent as long as a test wants it.
+/// Lists one worker as silent for as long as the test wants.
 class SilentOwner : public FixedOwner {
 public:
     SilentWorkers silent_workers() override { return silent; }
@@ -188,8 +188,8 @@
 
 } // namespace
 
-// A successor goes by the head row that it finds: while that names a worker, or a write
-// that names it may still take effect, no lease is given there.
+// A successor relies on the head row that it finds: while that row lists a worker as
+// silent, or a write that lists it may still take effect, the worker must get no lease.
 BOOST_AUTO_TEST_CASE(no_lease_is_given_while_the_head_row_may_name_the_worker)
 {
     for (uint64_t seed = 1; seed <= 40; ++seed) {
@@ -228,7 +228,7 @@
     }
 }
 
-// The platform's store takes 65,536 bytes a row (row_bytes).
+// The platform's store limits a row to 65,536 bytes (row_bytes).
 BOOST_AUTO_TEST_CASE(head_row_of_a_large_cell_fits_the_store)
 {
     constexpr size_t row_bytes = 65536;
@@ -258,7 +258,7 @@
     BOOST_TEST(encode(whole).size() / 3 * base64_of_three < row_bytes);
 }
 
-BOOST_AUTO_TEST_CASE(head_rows_of_earlier_versions_are_read)
+BOOST_AUTO_TEST_CASE(head_rows_of_earlier_versions_are_decoded)
 {
     const auto head = decode_head(R"([7,12,"first",["w1"]])");
     BOOST_REQUIRE(head);
--- a/src/jobs.lib/job_codec.cpp
+++ b/src/jobs.lib/job_codec.cpp
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// The form in which an accepted job lies in its row: JSON, with default values left out.
+/// Encoding of accepted jobs in the store: JSON without default values.
 
 #include <pathport/jobs/job_model.h>
 
@@ -17,34 +17,34 @@
 const char* const workspace_key = "workspace";
 
 template <typename Value>
-void put(Json& json, const char* key, const Value& value, const Value& unless)
+void put(Json& json, const char* key, const Value& value, const Value& default_value)
 {
-    if (!(value == unless))
+    if (!(value == default_value))
         json[key] = value;
 }
 
 Json to_json(const StepSpec& step)
 {
-    const StepSpec none;
+    const StepSpec defaults;
     Json json;
     json["count"] = step.count;
-    put(json, "cpu", step.need.cpu_millis, none.need.cpu_millis);
-    put(json, "memory", step.need.memory_mb, none.need.memory_mb);
-    put(json, "accelerators", step.need.accelerators, none.need.accelerators);
-    put(json, "expected_ms", step.expected_ms, none.expected_ms);
-    put(json, "after", step.after, none.after);
-    put(json, "saves", step.saves_progress, none.saves_progress);
-    put(json, "gang", step.gang, none.gang);
-    put(json, "same_rack", step.same_rack, none.same_rack);
-    put(json, "speculative", step.speculative, none.speculative);
-    put(json, "lasting", step.long_running, none.long_running);
-    put(json, "fills", step.best_effort_cpu, none.best_effort_cpu);
-    put(json, "label", step.label, none.label);
-    put(json, "near", step.preferred_rack, none.preferred_rack);
-    put(json, "per_worker", step.max_per_worker, none.max_per_worker);
-    put(json, "image", step.image, none.image);
-    put(json, "target_ms", step.latency_target_ms, none.latency_target_ms);
-    put(json, "away", step.max_unavailable, none.max_unavailable);
+    put(json, "cpu", step.need.cpu_millis, defaults.need.cpu_millis);
+    put(json, "memory", step.need.memory_mb, defaults.need.memory_mb);
+    put(json, "accelerators", step.need.accelerators, defaults.need.accelerators);
+    put(json, "expected_ms", step.expected_ms, defaults.expected_ms);
+    put(json, "after", step.after, defaults.after);
+    put(json, "saves", step.saves_progress, defaults.saves_progress);
+    put(json, "gang", step.gang, defaults.gang);
+    put(json, "same_rack", step.same_rack, defaults.same_rack);
+    put(json, "speculative", step.speculative, defaults.speculative);
+    put(json, "lasting", step.long_running, defaults.long_running);
+    put(json, "fills", step.best_effort_cpu, defaults.best_effort_cpu);
+    put(json, "label", step.label, defaults.label);
+    put(json, "near", step.preferred_rack, defaults.preferred_rack);
+    put(json, "per_worker", step.max_per_worker, defaults.max_per_worker);
+    put(json, "image", step.image, defaults.image);
+    put(json, "target_ms", step.latency_target_ms, defaults.latency_target_ms);
+    put(json, "away", step.max_unavailable, defaults.max_unavailable);
     return json;
 }
 
@@ -84,7 +84,7 @@
     return json;
 }
 
-// The host and the path are not kept: they may change while the job lives.
+// The host and the path are not stored, since they may change while the job is open.
 Queue queue_from(const Json& json)
 {
     Queue queue;
--- a/src/jobs.lib/job_feed.cpp
+++ b/src/jobs.lib/job_feed.cpp
@@ -14,18 +14,18 @@
 namespace {
 
 constexpr Millis poll_interval { 500 };
-/// So many polls may be without an answer at a time.
-constexpr int most_open_polls = 4;
-/// Pause after all rows were read: the store may forget its history again and again.
+/// Maximum number of polls without a reply.
+constexpr int max_open_polls = 4;
+/// Delay after all rows were read, since the store may drop its history repeatedly.
 constexpr Millis reread_pause { 900 };
 
 } // namespace
 
 JobFeed::JobFeed(EventLoop& loop, JobStore& store,
-                 std::function<void(const StoredRow&)> seen)
+                 std::function<void(const StoredRow&)> on_row)
     : m_loop(loop)
     , m_store(store)
-    , m_on_row(std::move(seen))
+    , m_on_row(std::move(on_row))
     , m_reader(loop, store)
 {
 }
@@ -51,12 +51,12 @@
         schedule(poll_interval);
 }
 
-// A poll beside one whose answer is coming brings the same rows, and slows it down: four of
-// them on a thin link take longer than what they bring took to happen, and the feed falls
-// further and further behind.
+// A second poll while a reply is being received returns the same rows and slows that reply
+// down: on a slow link, four polls take longer than the changes in their replies took to
+// happen, and the feed falls further and further behind.
 bool JobFeed::may_poll() const
 {
-    if (m_reader.reading() || m_polls_open >= most_open_polls)
+    if (m_reader.reading() || m_polls_open >= max_open_polls)
         return false;
     return m_polls_open == 0 || !m_store.receiving_feed();
 }
@@ -73,16 +73,16 @@
 void JobFeed::poll()
 {
     ++m_polls_open;
-    const Millis begun = m_loop.now();
+    const Millis started_at = m_loop.now();
     schedule(poll_interval);
     m_store.watch(jobs_table, m_version, Millis(0),
-                  m_lifetime.wrap([this, begun](const StoreResult& result) {
+                  m_lifetime.wrap([this, started_at](const StoreResult& result) {
                       --m_polls_open;
-                      polled(result, begun);
+                      polled(result, started_at);
                   }));
 }
 
-void JobFeed::polled(const StoreResult& result, Millis begun)
+void JobFeed::polled(const StoreResult& result, Millis started_at)
 {
     if (result.status == StoreStatus::history_lost) {
         if (m_reader.reading())
@@ -93,20 +93,21 @@
     }
     if (result.status != StoreStatus::ok)
         return;
-    m_known_at = std::max(m_known_at, begun);
+    m_known_at = std::max(m_known_at, started_at);
     m_version = std::max(m_version, result.version);
     deliver(result.rows);
 }
 
 void JobFeed::reread()
 {
-    const Millis begun = m_loop.now();
-    const auto seen = [this](const std::vector<StoredRow>& rows) { deliver(rows); };
-    m_reader.read(jobs_table, job_partition_names(), seen, [this, begun](int64_t version) {
-        m_version = std::max(m_version, version);
-        m_known_at = std::max(m_known_at, begun);
-        schedule(reread_pause);
-    });
+    const Millis started_at = m_loop.now();
+    const auto on_rows = [this](const std::vector<StoredRow>& rows) { deliver(rows); };
+    m_reader.read(jobs_table, job_partition_names(), on_rows,
+                  [this, started_at](int64_t version) {
+                      m_version = std::max(m_version, version);
+                      m_known_at = std::max(m_known_at, started_at);
+                      schedule(reread_pause);
+                  });
 }
 
 void JobFeed::deliver(const std::vector<StoredRow>& rows)
--- a/src/jobs.lib/job_feed_test.cpp
+++ b/src/jobs.lib/job_feed_test.cpp
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// What a job feed says of how old its knowledge is.
+/// What a job feed reports about the age of its knowledge.
 
 #define BOOST_TEST_MODULE job_feed
 #include <boost/test/unit_test.hpp>
@@ -23,7 +23,7 @@
 
 namespace {
 
-/// A feed on a store of its own, and the keys that it has told.
+/// A feed with its own store, and the keys that it delivered.
 struct FollowedStore {
     emulator::World world { 11 };
     emulator::Store store { world };
@@ -46,11 +46,11 @@
     }
 };
 
-/// A store behind a thin link, which the answers to its feed share. It reads them as
-/// AsyncHttpClient does: an answer that keeps coming is waited for.
-class StoreBehindThinLink : public emulator::StorePort {
+/// A store behind a slow link that is shared by the replies to the feed. Replies are
+/// received as by AsyncHttpClient: one that keeps arriving is waited for.
+class StoreBehindSlowLink : public emulator::StorePort {
 public:
-    StoreBehindThinLink(emulator::Store& store, emulator::ProcessLoop& loop)
+    StoreBehindSlowLink(emulator::Store& store, emulator::ProcessLoop& loop)
         : StorePort(store, loop, "n1")
         , m_loop(loop)
     {
@@ -65,7 +65,7 @@
             for (const StoredRow& row : result.rows)
                 answer.bytes_left += static_cast<int64_t>(row.value.size());
             m_answers.push_back(std::move(answer));
-            m_most = std::max(m_most, m_answers.size());
+            m_max_open = std::max(m_max_open, m_answers.size());
         });
     }
     bool receiving_feed() const override
@@ -75,25 +75,26 @@
         });
     }
 
-    /// What is on its way stands still for good.
-    void silence_open_answers()
+    /// Stalls all replies in flight for good.
+    void stall_open_replies()
     {
         for (Answer& answer : m_answers)
             answer.silent = true;
     }
-    /// Returns how many answers were under way at a time, at most.
-    size_t most_answers() const { return m_most; }
+    /// Returns the maximum number of replies in flight at the same time.
+    size_t max_open_replies() const { return m_max_open; }
 
-    /// A link of 10 Mbit/s of which the leader's other calls take a fifth.
+    /// In bytes per second: a link of 10 Mbit/s of which the leader's other calls use a
+    /// fifth.
     static constexpr int64_t link_bytes = 1000000;
 
 private:
     static constexpr int64_t answer_bytes = 300; ///< Without rows.
     static constexpr Millis step { 10 };
-    /// As AsyncHttpClient and StoreClient have them.
+    /// Same values as in AsyncHttpClient and StoreClient.
     static constexpr Millis receiving_time { 500 };
-    static constexpr Millis longest_silence { 1500 };
-    static constexpr Millis longest_answer { 10000 };
+    static constexpr Millis max_silence { 1500 };
+    static constexpr Millis max_reply_time { 10000 };
 
     struct Answer {
         StoreResult result;
@@ -121,8 +122,8 @@
             const auto next = std::next(answer);
             if (answer->bytes_left <= 0) {
                 ended.splice(ended.end(), m_answers, answer);
-            } else if (now - answer->last_heard > longest_silence
-                       || now - answer->begun > longest_answer) {
+            } else if (now - answer->last_heard > max_silence
+                       || now - answer->begun > max_reply_time) {
                 answer->result = StoreResult();
                 ended.splice(ended.end(), m_answers, answer);
             }
@@ -135,15 +136,16 @@
 
     emulator::ProcessLoop& m_loop;
     std::list<Answer> m_answers;
-    size_t m_most = 0;
+    size_t m_max_open = 0;
 };
 
-/// A feed behind a thin link, through the leader's StoreHealth, and jobs that keep coming.
-struct FeedBehindThinLink {
+/// A feed behind a slow link, through the leader's StoreHealth, with continuous
+/// submissions.
+struct FeedBehindSlowLink {
     emulator::World world { 13 };
     emulator::Store store { world };
     emulator::ProcessLoop loop { world };
-    StoreBehindThinLink link { store, loop };
+    StoreBehindSlowLink link { store, loop };
     Metrics metrics;
     StoreHealth health { loop, link, metrics };
     std::set<std::string> seen;
@@ -151,36 +153,36 @@
                    [this](const StoredRow& row) { seen.insert(row.id.key); } };
     int jobs = 0;
 
-    FeedBehindThinLink() { start_log("test", LogLevel::error); }
+    FeedBehindSlowLink() { start_log("test", LogLevel::error); }
 
-    void hand_in()
+    void submit()
     {
         StoreWrite write;
         write.puts.push_back({ job_row("job" + std::to_string(jobs++)),
                                std::string(static_cast<size_t>(job_bytes), 'x') });
         store.write_now(write);
     }
-    /// Runs while jobs are handed in at `bytes` a second.
+    /// Runs while jobs are submitted at a rate of `bytes` per second.
     void run_for(Millis span, int64_t bytes)
     {
         const Millis interval(1000 * job_bytes / bytes);
         for (Millis past; past < span; past = past + interval) {
-            hand_in();
+            submit();
             world.run_for(interval);
         }
     }
     Millis age() const { return world.now() - feed.known_at(); }
 
-    static constexpr int64_t job_bytes = 10000; ///< With its payload.
-    /// The users' largest load.
+    static constexpr int64_t job_bytes = 10000; ///< Including the payload.
+    /// Largest expected load, in bytes per second.
     static constexpr int64_t load_bytes = 390000;
-    /// Of what was missed in six seconds.
+    /// Number of jobs missed in an outage of six seconds.
     static constexpr int backlog_jobs = 240;
 };
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(feed_tells_new_rows_and_advances)
+BOOST_AUTO_TEST_CASE(feed_delivers_new_rows_and_advances)
 {
     FollowedStore followed;
     followed.put("aa");
@@ -189,7 +191,7 @@
     BOOST_TEST((followed.world.now() - followed.feed.known_at() < Millis(700)));
 }
 
-// What is known is never said to be newer than the beginning of the read that brought it.
+// The reported time must never be later than the start of the read that returned the rows.
 BOOST_AUTO_TEST_CASE(feed_never_claims_to_know_rows_that_it_has_not_read)
 {
     for (const int64_t slow : { 1, 20, 100 }) {
@@ -213,24 +215,24 @@
     }
 }
 
-// Found on the bench (grown boards, inc-bab9): 64 reads at once opened 64 connections while
+// Guards against too many concurrent reads: 64 reads at once opened 64 connections while
 // all nodes started; one was dropped, and the take-over waited 1.5 s for it.
-BOOST_AUTO_TEST_CASE(few_parts_are_read_at_a_time)
+BOOST_AUTO_TEST_CASE(few_partitions_are_read_at_a_time)
 {
-    /// Counts the reads that are open.
+    /// Counts the open reads.
     class CountingStore : public emulator::StorePort {
     public:
         using StorePort::StorePort;
         void read(const StoreRange& range, Millis timeout, StoreReply done) override
         {
-            most = std::max(most, ++open);
+            max_open = std::max(max_open, ++open);
             StorePort::read(range, timeout, [this, done](const StoreResult& result) {
                 --open;
                 done(result);
             });
         }
         int open = 0;
-        int most = 0;
+        int max_open = 0;
     };
     emulator::World world(12);
     emulator::Store store(world);
@@ -252,7 +254,7 @@
     BOOST_TEST(rows == 300U);
     BOOST_TEST(version == store.version());
     BOOST_TEST(!reader.reading());
-    BOOST_TEST(port.most <= 8);
+    BOOST_TEST(port.max_open <= 8);
 }
 
 BOOST_AUTO_TEST_CASE(feed_reads_on_after_an_outage)
@@ -270,8 +272,8 @@
     BOOST_TEST(followed.seen.count("aa") == 1U);
 }
 
-// A call that was lost with the store's outage must not hold up the first one after it.
-BOOST_AUTO_TEST_CASE(feed_knows_all_rows_soon_after_a_silent_store_is_back)
+// A call that was lost in a store outage must not delay the first one after the outage.
+BOOST_AUTO_TEST_CASE(feed_knows_all_rows_soon_after_a_store_outage)
 {
     for (int outage_ms = 2000; outage_ms < 3000; outage_ms += 100) {
         FollowedStore followed;
@@ -287,8 +289,8 @@
     }
 }
 
-// A take-over reads all rows; its reads may be lost with an outage as well.
-BOOST_AUTO_TEST_CASE(table_is_read_soon_after_a_silent_store_is_back)
+// A take-over reads all rows, and its reads may be lost in an outage as well.
+BOOST_AUTO_TEST_CASE(table_is_read_soon_after_a_store_outage)
 {
     for (int outage_ms = 200; outage_ms < 4000; outage_ms += 100) {
         emulator::World world { 12 };
@@ -308,47 +310,48 @@
     }
 }
 
-// Seen in a cell of 350 workers: polls from the same version shared a link of
-// 10 Mbit/s, none was read to its end, and the leader heard of no cancellation for 20 s.
-BOOST_AUTO_TEST_CASE(feed_behind_a_thin_link_catches_up)
+// Guards against a feed that never catches up: in a cell of 350 workers, polls from the
+// same version shared a link of 10 Mbit/s, none was received completely, and the leader
+// learned of no cancellation for 20 s.
+BOOST_AUTO_TEST_CASE(feed_behind_a_slow_link_catches_up)
 {
-    FeedBehindThinLink cell;
-    for (int i = 0; i < FeedBehindThinLink::backlog_jobs; ++i)
-        cell.hand_in();
+    FeedBehindSlowLink cell;
+    for (int i = 0; i < FeedBehindSlowLink::backlog_jobs; ++i)
+        cell.submit();
     cell.feed.begin(0, cell.world.now());
-    cell.run_for(Millis(20000), FeedBehindThinLink::load_bytes);
+    cell.run_for(Millis(20000), FeedBehindSlowLink::load_bytes);
     for (int look = 0; look < 50; ++look) {
-        cell.run_for(Millis(100), FeedBehindThinLink::load_bytes);
+        cell.run_for(Millis(100), FeedBehindSlowLink::load_bytes);
         BOOST_TEST((cell.age() < Millis(2000)), cell.age().count() << " ms old");
     }
     BOOST_TEST(cell.seen.size() > size_t(cell.jobs) * 9 / 10);
 }
 
-// Polls from the same version bring the same rows.
-BOOST_AUTO_TEST_CASE(feed_asks_no_more_while_an_answer_comes)
+// A second poll from the same version would return the same rows.
+BOOST_AUTO_TEST_CASE(feed_does_not_poll_while_a_reply_arrives)
 {
-    FeedBehindThinLink cell;
-    for (int i = 0; i < FeedBehindThinLink::backlog_jobs; ++i)
-        cell.hand_in();
+    FeedBehindSlowLink cell;
+    for (int i = 0; i < FeedBehindSlowLink::backlog_jobs; ++i)
+        cell.submit();
     cell.feed.begin(0, cell.world.now());
     cell.world.run_for(Millis(2000));
     cell.feed.poll_now();
     cell.world.run_for(Millis(2000));
-    BOOST_TEST(cell.link.most_answers() == 1U);
-    BOOST_TEST(cell.seen.size() == size_t(FeedBehindThinLink::backlog_jobs));
+    BOOST_TEST(cell.link.max_open_replies() == 1U);
+    BOOST_TEST(cell.seen.size() == size_t(FeedBehindSlowLink::backlog_jobs));
 }
 
-BOOST_AUTO_TEST_CASE(answer_that_stands_still_is_overtaken)
+BOOST_AUTO_TEST_CASE(stalled_reply_is_overtaken)
 {
-    FeedBehindThinLink cell;
-    for (int i = 0; i < FeedBehindThinLink::backlog_jobs / 2; ++i)
-        cell.hand_in();
+    FeedBehindSlowLink cell;
+    for (int i = 0; i < FeedBehindSlowLink::backlog_jobs / 2; ++i)
+        cell.submit();
     cell.feed.begin(0, cell.world.now());
     cell.world.run_for(Millis(300));
-    const Millis silenced = cell.world.now();
-    cell.link.silence_open_answers();
-    // The silence is noticed, the next regular poll comes, and its answer takes 1.2 s.
+    const Millis stalled_at = cell.world.now();
+    cell.link.stall_open_replies();
+    // The stall is detected, the next regular poll is sent, and its reply takes 1.2 s.
     cell.world.run_for(Millis(2400));
-    BOOST_TEST((cell.feed.known_at() > silenced));
-    BOOST_TEST(cell.seen.size() == size_t(FeedBehindThinLink::backlog_jobs / 2));
+    BOOST_TEST((cell.feed.known_at() > stalled_at));
+    BOOST_TEST(cell.seen.size() == size_t(FeedBehindSlowLink::backlog_jobs / 2));
 }
--- a/src/jobs.lib/job_model.cpp
+++ b/src/jobs.lib/job_model.cpp
@@ -48,9 +48,9 @@
 
 namespace {
 
-/// Stands between the name of a worker and the birth of one of its lives.
-constexpr char birth_mark = '~';
-constexpr int birth_base = 36;
+/// Separates the worker's name from the start time in the id of an incarnation.
+constexpr char incarnation_separator = '~';
+constexpr int start_time_base = 36;
 
 bool fail(Failure& reason, const std::string& detail)
 {
@@ -68,7 +68,7 @@
         return fail(reason, name + ": resources must not be negative");
     if (step.max_per_worker < 0 || step.max_unavailable < 0 || step.latency_target_ms < 0)
         return fail(reason, name + ": limits must not be negative");
-    // Only earlier steps may be named, so there can be no cycle.
+    // Only earlier steps are allowed, so there can be no cycle.
     for (const int earlier : step.after) {
         if (earlier < 0 || earlier >= index)
             return fail(reason,
@@ -203,33 +203,33 @@
 
 std::string WorkerIncarnation::id() const
 {
-    const bool name_tells_all
-        = started_ms == 0 && name.find(birth_mark) == std::string::npos;
-    if (name_tells_all)
+    const bool name_is_enough
+        = started_ms == 0 && name.find(incarnation_separator) == std::string::npos;
+    if (name_is_enough)
         return name;
     std::array<char, 16> digits {};
     const auto end = std::to_chars(digits.data(), digits.data() + digits.size(), started_ms,
-                                   birth_base);
-    return name + birth_mark + std::string(digits.data(), end.ptr);
+                                   start_time_base);
+    return name + incarnation_separator + std::string(digits.data(), end.ptr);
 }
 
 WorkerIncarnation WorkerIncarnation::parse(const std::string& id)
 {
-    const size_t mark = id.rfind(birth_mark);
-    if (mark == std::string::npos)
+    const size_t separator = id.rfind(incarnation_separator);
+    if (separator == std::string::npos)
         return { id, 0 };
-    WorkerIncarnation life { id.substr(0, mark), 0 };
+    WorkerIncarnation incarnation { id.substr(0, separator), 0 };
     const char* const last = id.data() + id.size();
-    const auto read
-        = std::from_chars(id.data() + mark + 1, last, life.started_ms, birth_base);
-    if (read.ec != std::errc() || read.ptr != last || life.started_ms < 0)
+    const auto read = std::from_chars(id.data() + separator + 1, last,
+                                      incarnation.started_ms, start_time_base);
+    if (read.ec != std::errc() || read.ptr != last || incarnation.started_ms < 0)
         return { id, 0 };
-    return life;
+    return incarnation;
 }
 
 std::string WorkerInfo::rack() const
 {
-    // A rack's label is "r<number>-<number>".
+    // The label of a rack is "r<number>-<number>".
     for (const std::string& label : labels) {
         if (label.size() > 2 && label[0] == 'r' && label.find('-') != std::string::npos)
             return label;
--- a/src/jobs.lib/job_node.cpp
+++ b/src/jobs.lib/job_node.cpp
@@ -15,37 +15,39 @@
 namespace {
 
 constexpr Millis lead_tick_interval { 250 };
-/// A follower that was not heard of for so long gets no questions for advice, and makes no
-/// calls to workers.
-constexpr Millis follower_useful { 1000 };
-/// Payloads that a node keeps: those of ten seconds at the users' largest load.
-constexpr size_t most_payload_bytes = size_t(1) << 20;
-/// So many workspaces have metrics of their own.
-constexpr size_t most_labelled_workspaces = 100;
-/// A silent follower's place among those that have to promise.
-constexpr Millis follower_forgotten { 30000 };
+/// A follower that has been silent for this long gets no advice queries and relays no calls
+/// to workers.
+constexpr Millis follower_active_time { 1000 };
+/// Size of a node's payload cache, in bytes: enough for ten seconds of the largest expected
+/// load.
+constexpr size_t max_payload_cache_bytes = size_t(1) << 20;
+/// Number of workspaces that have labelled metrics.
+constexpr size_t max_labelled_workspaces = 100;
+/// A silent follower's promise is required for this long; then the follower is dropped.
+constexpr Millis follower_drop_time { 30000 };
 
 } // namespace
 
-JobNode::Impl::Impl(const NodeContext& parts, const NodeSetup& setup)
-    : m_context(parts)
+JobNode::Impl::Impl(const NodeContext& context, const NodeSetup& setup)
+    : m_context(context)
     , m_setup(setup)
-    , m_store(parts.loop, parts.store, parts.metrics)
-    , m_configuration(parts.loop, parts.directory, parts.peers, parts.metrics, setup.node)
-    , m_gossip(parts.peers, m_configuration, setup.peer_address)
-    , m_acceptor(parts.loop, m_store)
-    , m_advice(parts.loop, parts.advisor, m_gossip, setup.mechanisms)
-    , m_payloads(most_payload_bytes)
-    , m_relay(parts.loop, parts.workers, m_gossip, m_payloads, setup.node,
+    , m_store(context.loop, context.store, context.metrics)
+    , m_configuration(context.loop, context.directory, context.peers, context.metrics,
+                      setup.node)
+    , m_gossip(context.peers, m_configuration, setup.peer_address)
+    , m_acceptor(context.loop, m_store)
+    , m_advice(context.loop, context.advisor, m_gossip, setup.mechanisms)
+    , m_payloads(max_payload_cache_bytes)
+    , m_relay(context.loop, context.workers, m_gossip, m_payloads, setup.node,
               setup.incarnation)
-    , m_relayed(parts.loop, parts.workers, m_gossip,
+    , m_relayed(context.loop, context.workers, m_gossip,
                 NodeCapacity { setup.cpu_millicores, setup.link_bytes_per_s },
                 own_message())
-    , m_relayed_directory(parts.loop, parts.directory, m_gossip, own_message(),
+    , m_relayed_directory(context.loop, context.directory, m_gossip, own_message(),
                           [this] { return m_relayed.first_relay(); })
-    , m_list_reader(parts.loop, parts.directory)
+    , m_list_reader(context.loop, context.directory)
     , m_leadership(
-          parts.loop, m_store, m_gossip,
+          context.loop, m_store, m_gossip,
           { setup.node, setup.peer_address, setup.incarnation, setup.cpu_millicores },
           *this)
 {
@@ -75,32 +77,33 @@
     m_handing_over = false;
     m_last_lead_tick = m_context.loop.now();
     m_elected_at = m_last_lead_tick;
-    SchedulerContext parts { m_context.loop,
-                             m_store,
-                             m_relayed_directory,
-                             m_relayed,
-                             m_advice,
-                             m_context.wall_ms,
-                             [this] { return m_store.clock_ms(); },
-                             m_context.metrics,
-                             WorkerTimeouts { m_setup.max_lease, m_setup.kill_grace,
-                                              m_setup.gang_timeout, m_setup.drain_margin },
-                             m_setup.archive_batch,
-                             m_setup.link_bytes_per_s,
-                             m_setup.mechanisms,
-                             &m_store.clock(),
-                             [this](const std::string& service) {
-                                 const auto known = configuration();
-                                 return !known || known->names_service(service);
-                             },
-                             [this] { return configuration(); } };
+    SchedulerContext context { m_context.loop,
+                               m_store,
+                               m_relayed_directory,
+                               m_relayed,
+                               m_advice,
+                               m_context.wall_ms,
+                               [this] { return m_store.clock_ms(); },
+                               m_context.metrics,
+                               WorkerTimeouts { m_setup.max_lease, m_setup.kill_grace,
+                                                m_setup.gang_timeout,
+                                                m_setup.drain_margin },
+                               m_setup.archive_batch,
+                               m_setup.link_bytes_per_s,
+                               m_setup.mechanisms,
+                               &m_store.clock(),
+                               [this](const std::string& service) {
+                                   const auto known = configuration();
+                                   return !known || known->names_service(service);
+                               },
+                               [this] { return configuration(); } };
     std::vector<std::string> others;
     if (m_setup.mechanisms.uses(Mechanism::worker_relays))
         std::remove_copy(m_peers.begin(), m_peers.end(), std::back_inserter(others),
                          m_setup.peer_address);
     m_relayed.begin_epoch(claim.head.epoch, m_leader_call_load, others);
-    m_scheduler
-        = std::make_unique<Scheduler>(parts, claim, m_lifetime.wrap([this] { deposed(); }));
+    m_scheduler = std::make_unique<Scheduler>(context, claim,
+                                              m_lifetime.wrap([this] { deposed(); }));
     m_scheduler->begin();
     lead_tick();
     announce(predecessor);
@@ -110,7 +113,7 @@
     }
 }
 
-// Returns a message that tells who this node is and the epoch that it knows.
+// Returns a heartbeat message with this node's identity and the epoch that it knows.
 PeerRequest JobNode::Impl::own_heartbeat() const
 {
     PeerRequest request = own_message();
@@ -130,7 +133,7 @@
     return request;
 }
 
-// Asks any other node, since those that the store serves know who leads.
+// Asks a random other node, since nodes with access to the store know the leader.
 void JobNode::Impl::leader_unknown()
 {
     if (m_peers.empty() || m_scheduler)
@@ -150,7 +153,7 @@
                   }));
 }
 
-// Others may not reach the store to learn of it.
+// Announces the new leader, since other nodes may be unable to read the store.
 void JobNode::Impl::announce(const std::string& address)
 {
     if (address.empty())
@@ -181,7 +184,7 @@
     request.store_served = m_store.served();
     request.store_fails = m_store.failing();
     request.peers_hash = m_peers_hash;
-    // Only while the store is away for this node does it give its word not to claim.
+    // The node promises not to claim only while the store is unavailable to it.
     if (!m_store.failing() || m_leader_sent_ms == 0)
         return;
     request.promises = true;
@@ -201,7 +204,8 @@
         m_peers = answer.peers;
         m_leadership.set_group_size(m_peers.size());
     }
-    // When the leader is not served, this node finds out whether it is.
+    // If the store is unavailable to the leader, check whether it is available to this
+    // node.
     if (!answer.served)
         m_store.check(m_lifetime.wrap([this] { m_leadership.heartbeat_now(); }));
 }
@@ -212,20 +216,20 @@
         return;
     discount_own_pause();
     const Millis now = m_context.loop.now();
-    std::vector<std::string> useful;
+    std::vector<std::string> active;
     for (auto follower = m_followers.begin(); follower != m_followers.end();) {
         const Millis silence = now - follower->second.last_heard;
-        if (silence > follower_forgotten) {
+        if (silence > follower_drop_time) {
             follower = m_followers.erase(follower);
             continue;
         }
-        if (silence < follower_useful)
-            useful.push_back(follower->first);
+        if (silence < follower_active_time)
+            active.push_back(follower->first);
         else if (silence > follower_silence_limit)
             probe_follower(follower->first);
         ++follower;
     }
-    m_advice.set_peers(useful);
+    m_advice.set_peers(active);
     refresh_relays();
     update_peer_list();
     update_promises();
@@ -233,20 +237,20 @@
     m_context.loop.after(lead_tick_interval, m_lifetime.wrap([this] { lead_tick(); }));
 }
 
-// What this node has slept through is no silence of its followers. If it forgot them for
-// it, nobody would be left whose promise its orders need.
+// A pause of this process must not count as silence of its followers. If it dropped them
+// for that, no follower would be left whose promise its orders require.
 void JobNode::Impl::discount_own_pause()
 {
     const Millis now = m_context.loop.now();
-    const Millis slept = now - m_last_lead_tick - lead_tick_interval;
+    const Millis paused = now - m_last_lead_tick - lead_tick_interval;
     m_last_lead_tick = now;
-    if (slept <= Millis(0))
+    if (paused <= Millis(0))
         return;
     for (auto& [address, follower] : m_followers)
-        follower.last_heard = std::min(now, follower.last_heard + slept);
+        follower.last_heard = std::min(now, follower.last_heard + paused);
 }
 
-// Followers are told of each other, so that the next leader can tell all of itself.
+// Followers get the list of all nodes, so that the next leader can announce itself to all.
 void JobNode::Impl::update_peer_list()
 {
     std::string joined;
@@ -259,24 +263,25 @@
     m_peers_hash = static_cast<int64_t>(stable_hash(joined + m_setup.peer_address) >> 1);
 }
 
-// One that stops in order is no follower any more, so its share moves before it ends. A new
-// leader goes by the nodes that the last one knew until all that live have asked it.
+// A node in orderly shutdown is no longer a follower, so its share of the calls moves to
+// other relays before it exits. A new leader uses the nodes known to its predecessor until
+// all live followers have sent a heartbeat.
 void JobNode::Impl::refresh_relays()
 {
     const Millis now = m_context.loop.now();
     if (!m_setup.mechanisms.uses(Mechanism::worker_relays)
-        || now - m_elected_at < follower_useful)
+        || now - m_elected_at < follower_active_time)
         return;
     std::vector<RelayNode> nodes;
     for (const auto& [address, follower] : m_followers) {
-        if (now - follower.last_heard < follower_useful)
+        if (now - follower.last_heard < follower_active_time)
             nodes.push_back(
                 { address, { follower.cpu_millicores, follower.link_bytes_per_s } });
     }
     m_relayed.set_nodes(std::move(nodes));
 }
 
-// A follower whose process is gone has nothing to promise.
+// A follower whose process has exited needs no promise.
 void JobNode::Impl::probe_follower(const std::string& address)
 {
     Follower& follower = m_followers[address];
@@ -328,12 +333,12 @@
     return m_scheduler ? m_scheduler->workspace_loads() : std::vector<WorkspaceLoad>();
 }
 
-// Workspaces beyond the number that gets labels of their own have none here; the page of
-// all workspaces lists them.
+// Workspaces beyond the number with labelled metrics are left out; the page of all
+// workspaces lists them.
 void JobNode::Impl::update_workspace_gauges()
 {
     const std::vector<WorkspaceLoad> loads = workspace_loads();
-    for (size_t i = 0; i < loads.size() && i < most_labelled_workspaces; ++i) {
+    for (size_t i = 0; i < loads.size() && i < max_labelled_workspaces; ++i) {
         const WorkspaceLoad& load = loads[i];
         const MetricLabels labels { { "workspace", load.workspace.name } };
         Metrics& metrics = m_context.metrics;
@@ -345,8 +350,8 @@
     }
 }
 
-JobNode::JobNode(const NodeContext& parts, const NodeSetup& setup)
-    : m_impl(std::make_unique<Impl>(parts, setup))
+JobNode::JobNode(const NodeContext& context, const NodeSetup& setup)
+    : m_impl(std::make_unique<Impl>(context, setup))
 {
 }
 
--- a/src/jobs.lib/job_node_clients.cpp
+++ b/src/jobs.lib/job_node_clients.cpp
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// What a node does for clients that hand in and cancel jobs.
+/// Handling of clients' submissions and cancellations.
 
 #include "job_node_impl.h"
 #include "retry_delay.h"
@@ -17,14 +17,14 @@
 namespace {
 
 constexpr Millis forward_timeout { 1500 };
-/// A cancellation is told to the leader again after this pause, and for so long in all: a
-/// few changes of leader.
-constexpr Millis tell_cancel_pause { 200 };
-constexpr Millis tell_cancel_for { 15000 };
-/// What the leader last told of closed queues counts for so long: a few heartbeats.
-constexpr Millis door_holds { 1500 };
-/// How long it is asked whether a job that is turned away was taken before.
-constexpr Millis turn_away_limit { 500 };
+/// Interval at which the leader is notified of a cancellation again, and total time for
+/// which this is repeated: it spans a few changes of leader.
+constexpr Millis notify_cancel_interval { 200 };
+constexpr Millis notify_cancel_time { 15000 };
+/// Validity of the leader's last list of closed queues: a few heartbeats.
+constexpr Millis closed_queue_validity { 1500 };
+/// Time limit for checking whether a rejected job was accepted earlier.
+constexpr Millis resubmission_check_time { 500 };
 
 const char* to_string(WriteOutcome outcome)
 {
@@ -82,8 +82,9 @@
 
 Millis JobNode::Impl::closed_queue_retry_after(const std::string& queue) const
 {
-    const bool told_lately = m_context.loop.now() - m_closed_queues_updated < door_holds;
-    if (!m_scheduler && !told_lately)
+    const bool known_recently
+        = m_context.loop.now() - m_closed_queues_updated < closed_queue_validity;
+    if (!m_scheduler && !known_recently)
         return Millis(0);
     const auto& closed = m_scheduler ? m_scheduler->closed_queues() : m_closed_queues;
     const auto found
@@ -95,35 +96,35 @@
 Millis JobNode::Impl::retry_after_refusal(const Queue& queue, const JobSpec& spec,
                                           const std::string& id) const
 {
-    const Millis pause = retry_delay(queue, spec, id, m_store.outage());
-    return std::max(pause, closed_queue_retry_after(queue.name));
+    const Millis delay = retry_delay(queue, spec, id, m_store.outage());
+    return std::max(delay, closed_queue_retry_after(queue.name));
 }
 
-// A job that the advice can't decide about in time would stand, and its client wait in
-// vain. An earlier try, whose answer was lost, may have been taken: only what is not there
-// can be said never to run.
+// A job that the advisor can't decide about in time would stall while its client waits in
+// vain. An earlier attempt whose reply was lost may have been accepted, so only a job that
+// is not stored may be reported as never going to run.
 void JobNode::Impl::reject_submission(const std::string& queue, const std::string& id,
                                       Millis received, const callers::Caller& caller,
                                       ClientStatus answer, ClientReply done)
 {
-    query(id, received, turn_away_limit, caller,
+    query(id, received, resubmission_check_time, caller,
           [this, queue, id, received, workspace = caller.workspace(), answer,
            done](ClientStatus status, JobState) {
-              const bool taken = status == ClientStatus::ok;
-              // While nobody can say whether it was taken before, it may be tried again.
-              const bool untold = status == ClientStatus::unavailable;
-              const ClientStatus refusal = untold ? ClientStatus::refused : answer;
-              record_call_metrics("submit", taken ? "taken_before" : "turned_away",
-                                  received);
+              const bool accepted_before = status == ClientStatus::ok;
+              // While it is unknown whether it was accepted before, the client may retry.
+              const bool undetermined = status == ClientStatus::unavailable;
+              const ClientStatus refusal = undetermined ? ClientStatus::refused : answer;
+              record_call_metrics(
+                  "submit", accepted_before ? "taken_before" : "turned_away", received);
               log_event(
                   LogLevel::info, "job_turned_away",
                   { { "job", id },
                     { "queue", queue },
                     { "workspace", workspace },
                     { "reason", answer == ClientStatus::over_bound ? "bound" : "advice" },
-                    { "taken_before", taken ? "yes" : "no" },
+                    { "taken_before", accepted_before ? "yes" : "no" },
                     { "come_back_ms", closed_queue_retry_after(queue).count() } });
-              done(taken ? ClientStatus::ok : refusal);
+              done(accepted_before ? ClientStatus::ok : refusal);
           });
 }
 
@@ -147,13 +148,13 @@
     return check;
 }
 
-// Returns whether a task, or a gang, needs more at once than its workspace may have, so
-// that it could never start.
+// Returns whether a task or a gang needs more at once than its workspace's bound, so that
+// it could never start.
 bool JobNode::Impl::exceeds_bound(const JobSpec& spec, const std::string& workspace) const
 {
-    const auto present = configuration();
+    const auto current = configuration();
     const callers::Workspace* known
-        = present && present->workspaces ? present->workspaces->find(workspace) : nullptr;
+        = current && current->workspaces ? current->workspaces->find(workspace) : nullptr;
     if (known == nullptr)
         return false;
     return std::any_of(spec.steps.begin(), spec.steps.end(), [&](const StepSpec& step) {
@@ -215,9 +216,10 @@
     m_acceptor.accept(id, row, job.workspace, write_deadline(received, limit), written);
 }
 
-// An id names one job in the whole cell, since workers know tasks by it: what another
-// workspace has handed in under it never becomes this caller's. What the caller may see is
-// its own that comes again, also when its queue was public or callers weren't told apart.
+// Job ids are unique in the whole cell, since workers know tasks by them: a job that
+// another workspace submitted under the id never becomes this caller's. A job that the
+// caller may see is its own resubmission, also if the queue was public or callers were not
+// distinguished at the time.
 ClientStatus JobNode::Impl::accepted_status(const std::string& id,
                                             const WriteResult& written,
                                             const callers::Caller& caller)
@@ -229,8 +231,8 @@
     return ClientStatus::id_taken;
 }
 
-// The leader learns of it at once by a message, or soon from the store: of the row that is
-// there, which need not be the one that was handed in to this node.
+// Notifies the leader at once by a message; otherwise it soon reads the job from the store.
+// The message has the stored row, which may differ from the one submitted to this node.
 void JobNode::Impl::accepted(const std::string& id, const WriteResult& written)
 {
     Failure reason;
@@ -256,26 +258,29 @@
     m_gossip.send(leader, notice, leader_query_timeout, [](PeerEnd, const PeerAnswer&) {});
 }
 
-// The store did not take it from this node; perhaps it takes it from the leader.
-void JobNode::Impl::forward_write(PeerRequest request, WriteOutcome own, ClientReply done)
+// Forwards a write that the store did not accept from this node to the leader, from which
+// the store may accept it.
+void JobNode::Impl::forward_write(PeerRequest request, WriteOutcome own_outcome,
+                                  ClientReply done)
 {
     const std::string leader = remote_leader();
-    if (leader.empty() || own == WriteOutcome::missing || !m_leadership.leader_responsive()
-        || !m_leader_served) {
-        done(to_client(own));
+    if (leader.empty() || own_outcome == WriteOutcome::missing
+        || !m_leadership.leader_responsive() || !m_leader_served) {
+        done(to_client(own_outcome));
         return;
     }
     request.node = m_setup.node;
     m_gossip.send(leader, request, forward_timeout,
-                  m_lifetime.wrap([this, id = request.job, own,
+                  m_lifetime.wrap([this, id = request.job, own_outcome,
                                    done](PeerEnd end, const PeerAnswer& answer) {
                       ClientStatus status = ClientStatus::in_doubt;
                       if (end == PeerEnd::refused)
-                          status = to_client(own);
+                          status = to_client(own_outcome);
                       if (end == PeerEnd::answered && answer.served)
                           status = static_cast<ClientStatus>(answer.status);
-                      // What this node has sent itself may still be done.
-                      if (status == ClientStatus::refused && own == WriteOutcome::in_doubt)
+                      // This node's own write may still take effect.
+                      if (status == ClientStatus::refused
+                          && own_outcome == WriteOutcome::in_doubt)
                           status = ClientStatus::in_doubt;
                       log_event(LogLevel::info, "write_forwarded",
                                 { { "job", id }, { "status", static_cast<int>(status) } });
@@ -284,9 +289,9 @@
 }
 
 void JobNode::Impl::record_cancel(const std::string& id, const callers::Caller& caller,
-                                  Millis give_up, WriteReply done)
+                                  Millis give_up_at, WriteReply done)
 {
-    m_acceptor.cancel(id, caller, give_up, [this, id, done](const WriteResult& result) {
+    m_acceptor.cancel(id, caller, give_up_at, [this, id, done](const WriteResult& result) {
         if (result.outcome == WriteOutcome::written && m_scheduler)
             m_scheduler->job_canceled(id, "own");
         done(result);
@@ -314,13 +319,13 @@
                           return;
                       }
                       done(ClientStatus::ok);
-                      notify_cancel(id, m_context.loop.now() + tell_cancel_for);
+                      notify_cancel(id, m_context.loop.now() + notify_cancel_time);
                   });
 }
 
-// The leader hears of it at once by a message, which is repeated until a leader has taken
-// it: one that is about to be another one declines it, and the feed of one that is behind
-// may bring it many seconds later, while the job's tasks run on.
+// Notifies the leader at once by a message, repeated until a leader has accepted it: a node
+// that is about to become the leader declines it, and a leader whose feed is behind may
+// read the cancellation many seconds later, while the job's tasks keep running.
 void JobNode::Impl::notify_cancel(const std::string& id, Millis until)
 {
     if (m_scheduler) {
@@ -354,9 +359,9 @@
 
 void JobNode::Impl::retry_notify_cancel(const std::string& id, Millis until)
 {
-    if (m_context.loop.now() + tell_cancel_pause >= until)
+    if (m_context.loop.now() + notify_cancel_interval >= until)
         return;
-    m_context.loop.after(tell_cancel_pause,
+    m_context.loop.after(notify_cancel_interval,
                          m_lifetime.wrap([this, id, until] { notify_cancel(id, until); }));
 }
 
--- a/src/jobs.lib/job_node_impl.h
+++ b/src/jobs.lib/job_node_impl.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// The parts of a node and how they are joined.
+/// The components of a node and how they are connected.
 
 #pragma once
 
@@ -23,29 +23,29 @@
 
 namespace pathport::jobs {
 
-/// How long a promise not to claim the leadership holds: three heartbeats and the time of
-/// one that gets no answer. After an outage a leader that has lost power is not replaced
-/// before, so it is no longer than needed.
+/// How long a promise not to claim leadership is valid: three heartbeats plus the time-out
+/// of one. After an outage, a leader that has lost power is not replaced earlier, so this
+/// is no longer than necessary.
 constexpr Millis promise_time { 1000 };
 
-/// A hand-in that the store has not taken for so long is given up on.
+/// Time limit of a client's call; a write that is not stored by then is abandoned.
 constexpr Millis max_request_time { 1200 };
-/// Left of a client's time for the answer's way.
+/// Part of a client's time-out that is reserved for returning the reply.
 constexpr Millis reply_margin { 150 };
-/// How long a leader's answer to a client's question is waited for.
+/// Time-out for a query to the leader on behalf of a client.
 constexpr Millis leader_query_timeout { 400 };
 
-/// A follower that was not heard of for so long is probed, and not made the successor.
+/// A follower that has been silent for this long is probed, and can't become the successor.
 constexpr Millis follower_silence_limit { 600 };
-/// How long an answer to a message without content is waited for.
+/// Time-out for a message without content.
 constexpr Millis probe_timeout { 300 };
 
-/// The node behind JobNode.
+/// Implementation of JobNode.
 class JobNode::Impl : public LeadershipListener {
 public:
-    Impl(const NodeContext& parts, const NodeSetup& setup);
+    Impl(const NodeContext& context, const NodeSetup& setup);
 
-    // Life (job_node.cpp).
+    // Life cycle (job_node.cpp).
     void begin();
     void begin_shutdown();
     bool ready() const { return configuration() != nullptr && !m_shutting_down; }
@@ -78,8 +78,8 @@
                const callers::Caller& caller, StateReply done);
     void count_pending(const Queue& queue, Millis received, Millis limit, CountReply done);
 
-    /// Returns when a caller whose job the queue does not take should come back; zero when
-    /// it takes it.
+    /// Returns the time after which a caller should retry if the queue is closed to
+    /// submissions; zero if it is open.
     Millis closed_queue_retry_after(const std::string& queue) const;
     Millis retry_after_refusal(const Queue& queue, const JobSpec& spec,
                                const std::string& id) const;
@@ -95,10 +95,11 @@
     void leader_unknown() override;
 
 private:
-    /// A node that follows this one.
+    /// A node that follows this leader.
     struct Follower {
         Millis last_heard;
-        Millis promised_until; ///< It won't claim before; on this node's clock.
+        /// It won't claim leadership before this time, on this node's clock.
+        Millis promised_until;
         bool store_served = false;
         bool store_fails = false;
         std::string node;
@@ -142,9 +143,9 @@
     void accepted(const std::string& id, const WriteResult& written);
     void notify_cancel(const std::string& id, Millis until);
     void retry_notify_cancel(const std::string& id, Millis until);
-    void record_cancel(const std::string& id, const callers::Caller& caller, Millis give_up,
-                       WriteReply done);
-    void forward_write(PeerRequest request, WriteOutcome own, ClientReply done);
+    void record_cancel(const std::string& id, const callers::Caller& caller,
+                       Millis give_up_at, WriteReply done);
+    void forward_write(PeerRequest request, WriteOutcome own_outcome, ClientReply done);
     void query_store(const std::string& id, Millis deadline, const callers::Caller& caller,
                      StateReply done);
     void read_state(const std::string& id, const callers::Caller& caller,
@@ -168,30 +169,32 @@
     NodeSetup m_setup;
     StoreHealth m_store;
     ConfigurationTracker m_configuration;
-    VersionGossip m_gossip; ///< The way to the peers.
+    VersionGossip m_gossip; ///< Sends messages to peers.
     Acceptor m_acceptor;
     AdvicePool m_advice;
-    PayloadCache m_payloads; ///< Of jobs that this node accepted or relayed starts of.
+    /// Of jobs that this node accepted or whose starts it relayed.
+    PayloadCache m_payloads;
     WorkerRelay m_relay;
-    RelayedWorkers m_relayed; ///< The way to the workers while this node leads.
-    RelayedDirectory m_relayed_directory; ///< The same to their list.
+    RelayedWorkers m_relayed; ///< Calls workers while this node leads.
+    RelayedDirectory m_relayed_directory; ///< Reads the worker list while this node leads.
     WorkerListReader m_list_reader;
     Leadership m_leadership;
     std::unique_ptr<Scheduler> m_scheduler; ///< Set while this node leads.
     std::map<std::string, Follower> m_followers; ///< By address.
-    /// Addresses of all nodes as far as the leader knows them, and a hash of the list.
+    /// Addresses of all nodes known to the leader, and a hash of the list.
     std::vector<std::string> m_peers;
     int64_t m_peers_hash = 0;
-    Millis m_last_lead_tick; ///< When lead_tick() ran last.
+    Millis m_last_lead_tick; ///< When lead_tick() last ran.
     Millis m_elected_at; ///< When this node became the leader.
     bool m_shutting_down = false;
-    Millis m_shutdown_started; ///< When the planned stop began.
-    std::optional<LeaderValue> m_successor; ///< Named by the last write of this leader.
-    bool m_handing_over = false; ///< The log was told to make another node the leader.
-    bool m_leader_served = false; ///< Whether the store served the leader then.
-    CallLoad m_leader_call_load; ///< What its calls to workers took then.
-    std::vector<ClosedQueue> m_closed_queues; ///< As the leader last told.
-    Millis m_closed_queues_updated; ///< When that was.
+    Millis m_shutdown_started; ///< When the orderly shutdown began.
+    std::optional<LeaderValue> m_successor; ///< Named by this leader's last write.
+    bool m_handing_over = false; ///< The log is about to make another node the leader.
+    /// Whether the store served the leader, as of its last answer.
+    bool m_leader_served = false;
+    CallLoad m_leader_call_load; ///< Load of its calls to workers, as of its last answer.
+    std::vector<ClosedQueue> m_closed_queues; ///< As of the leader's last answer.
+    Millis m_closed_queues_updated; ///< When that answer was received.
     int64_t m_leader_sent_ms = 0; ///< The leader's clock in its last answer.
     Lifetime m_lifetime;
 };
--- a/src/jobs.lib/job_node_peers.cpp
+++ b/src/jobs.lib/job_node_peers.cpp
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// What a node does for its peers.
+/// Handling of peers' messages.
 
 #include "job_node_impl.h"
 
@@ -12,11 +12,11 @@
 
 namespace {
 
-/// How long a write for a peer is tried.
-constexpr Millis forwarded_try { 900 };
+/// Time limit for a write on behalf of a peer.
+constexpr Millis forwarded_write_time { 900 };
 constexpr Millis advice_timeout { 5000 };
-/// How long a leader tries to find a job's state for a peer.
-constexpr Millis state_time { 500 };
+/// Time limit for a state query on behalf of a peer.
+constexpr Millis state_query_time { 500 };
 
 } // namespace
 
@@ -117,7 +117,8 @@
     }
     answer.served = m_scheduler->log().served();
     if (request.resigned) {
-        m_followers.erase(request.address); // It stops: it neither claims nor leads.
+        // It is shutting down, so it neither claims nor leads.
+        m_followers.erase(request.address);
         refresh_relays();
     } else if (!request.leads) {
         note_follower(request);
@@ -149,8 +150,8 @@
     consider_resigning();
 }
 
-// A leader that does not know the job asks the store, on behalf of a node that perhaps
-// can't.
+// A leader that does not know the job reads the store, on behalf of a node that may be
+// unable to.
 void JobNode::Impl::handle_state(const PeerRequest& request, PeerAnswer answer,
                                  PeerResponder done)
 {
@@ -158,7 +159,7 @@
         done(std::move(answer));
         return;
     }
-    query(request.job, m_context.loop.now(), state_time, request.caller,
+    query(request.job, m_context.loop.now(), state_query_time, request.caller,
           [answer = std::move(answer), done](ClientStatus status, JobState state) mutable {
               answer.served = true;
               answer.status = static_cast<int>(status);
@@ -170,7 +171,7 @@
 
 void JobNode::Impl::handle_accept(const PeerRequest& request, PeerResponder done)
 {
-    const Millis give_up = m_context.loop.now() + forwarded_try;
+    const Millis give_up_at = m_context.loop.now() + forwarded_write_time;
     Failure reason;
     const auto job = request.topic == PeerTopic::accept_job
         ? decode_accepted_job(request.job, request.row, reason)
@@ -197,14 +198,14 @@
             accepted(request.job, result);
     };
     if (request.topic == PeerTopic::cancel_job) {
-        record_cancel(request.job, request.caller, give_up, reply);
+        record_cancel(request.job, request.caller, give_up_at, reply);
         return;
     }
     if (!job) {
         reply({ WriteOutcome::refused });
         return;
     }
-    m_acceptor.accept(request.job, request.row, job->workspace, give_up, reply);
+    m_acceptor.accept(request.job, request.row, job->workspace, give_up_at, reply);
 }
 
 void JobNode::Impl::handle_advice(const PeerRequest& request, PeerResponder done)
--- a/src/jobs.lib/job_node_queries.cpp
+++ b/src/jobs.lib/job_node_queries.cpp
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// What a node tells clients of jobs: from the leader, or from the rows in the store.
+/// Clients' queries, answered by the leader or from the rows in the store.
 
 #include "job_node_impl.h"
 #include "store_keys.h"
@@ -14,13 +14,13 @@
 namespace {
 
 constexpr Millis read_timeout { 600 };
-/// Pause before a state is asked for again that the store did not tell.
+/// Delay before a failed read of a job's state is retried.
 constexpr Millis query_retry { 100 };
 
 } // namespace
 
-// A job that the caller may not see is answered like one that isn't there: an answer of its
-// own would tell that the id is somebody's.
+// A job that the caller may not see is reported as not found: a distinct answer would
+// reveal that the id is in use.
 void JobNode::Impl::query(const std::string& id, Millis received, Millis limit,
                           const callers::Caller& caller, StateReply done)
 {
@@ -51,9 +51,9 @@
                   m_lifetime.wrap([this, id, deadline, caller,
                                    done](PeerEnd end, const PeerAnswer& answer) {
                       const auto status = static_cast<ClientStatus>(answer.status);
-                      const bool told = end == PeerEnd::answered && answer.served
+                      const bool is_known = end == PeerEnd::answered && answer.served
                           && status != ClientStatus::unavailable;
-                      if (told)
+                      if (is_known)
                           done(status, answer.state.value_or(JobState::pending));
                       else
                           query_store(id, deadline, caller, done);
@@ -87,7 +87,7 @@
         }));
 }
 
-// `rows` are the job's and that of its cancellation, as far as they are there.
+// `rows` holds the job's row and that of its cancellation, as far as they exist.
 void JobNode::Impl::read_state(const std::string& id, const callers::Caller& caller,
                                const std::vector<StoredRow>& rows, StateReply done)
 {
@@ -106,8 +106,8 @@
         done(ClientStatus::not_found, JobState::pending);
 }
 
-// A job row goes only together with the coming of the row that is read here. A job that
-// isn't closed is in `open_state`; nothing there means that its row is missing.
+// The job row is removed in the transaction that adds the row read here. `open_state` is
+// the state to report if the job isn't closed; empty means that the job's row is missing.
 void JobNode::Impl::query_closed(const std::string& id, std::optional<JobState> open_state,
                                  const callers::Caller& caller, StateReply done)
 {
@@ -139,8 +139,8 @@
                  }));
 }
 
-// Without progress a job has not begun, or it was archived since its row was read: its
-// progress goes only after the row of the closed job has come.
+// A job without a progress row has not started, or was archived after its row was read: the
+// progress row is removed only after the row of the closed job was added.
 void JobNode::Impl::query_progress(const std::string& id, bool canceled,
                                    const callers::Caller& caller, StateReply done)
 {
--- a/src/jobs.lib/job_node_succession.cpp
+++ b/src/jobs.lib/job_node_succession.cpp
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// When a node gives the leadership up, and to whom.
+/// When a node gives up leadership, and to which successor.
 
 #include "job_node_impl.h"
 
@@ -15,13 +15,13 @@
 
 namespace {
 
-/// A leader that the store has not served for so long gives up its place to a follower
-/// that it serves.
-constexpr Millis unserved_time { 700 };
+/// A leader to which the store has been unavailable for this long resigns in favour of a
+/// follower that the store serves.
+constexpr Millis max_unserved_time { 700 };
 
 } // namespace
 
-// The leader must not make this node its successor any more.
+// The leader must no longer make this node its successor.
 void JobNode::Impl::notify_leader_of_shutdown()
 {
     const std::string leader = m_leadership.leader_address();
@@ -36,9 +36,9 @@
 {
     const Millis now = m_context.loop.now();
     const Millis last_write = m_scheduler->log().lease_until() - leader_lease;
-    // A store that is slow is so for all: another leader would not be better off.
+    // A slow store is slow for all nodes, so another leader would not do better.
     const bool unserved = !m_scheduler->log().served() && m_store.failing()
-        && now - last_write > unserved_time;
+        && now - last_write > max_unserved_time;
     const bool other_served
         = std::any_of(m_followers.begin(), m_followers.end(), [&](const auto& entry) {
               return entry.second.store_served
@@ -59,8 +59,9 @@
                 { "unserved_ms", (now - last_write).count() } });
 }
 
-// Returns whether another node should lead from now on. A take-over reads all open jobs, so
-// while the store is slow this node goes on as long as its grace allows.
+// Returns whether another node should become the leader now. A new leader reads all open
+// jobs, so while the store is slow this node stays leader for as long as its shutdown time
+// allows.
 bool JobNode::Impl::hand_over_due() const
 {
     if (m_handing_over || !m_scheduler->scheduling()
@@ -72,23 +73,23 @@
     return (m_shutting_down || stronger) && (!m_scheduler->log().slow() || overdue);
 }
 
-// Returns the address of the strongest follower that lives and that the store does not
-// fail, or "". One that the store is known to serve goes first.
+// Returns the address of the most powerful live follower whose store access isn't failing,
+// or "". Among equals, one with confirmed store access is preferred.
 std::string JobNode::Impl::successor() const
 {
     const Millis now = m_context.loop.now();
-    const auto fit = [&](const Follower& follower) {
+    const auto is_eligible = [&](const Follower& follower) {
         return now - follower.last_heard < follower_silence_limit && !follower.store_fails;
     };
     const auto key = [&](const Follower& follower) {
-        return std::make_tuple(fit(follower), follower.cpu_millicores,
+        return std::make_tuple(is_eligible(follower), follower.cpu_millicores,
                                follower.store_served, follower.last_heard);
     };
     const auto best = std::max_element(m_followers.begin(), m_followers.end(),
                                        [&](const auto& left, const auto& right) {
                                            return key(left.second) < key(right.second);
                                        });
-    return best != m_followers.end() && fit(best->second) ? best->first : "";
+    return best != m_followers.end() && is_eligible(best->second) ? best->first : "";
 }
 
 void JobNode::Impl::hand_over_to(const std::string& address, const char* reason)
@@ -110,7 +111,7 @@
                            });
 }
 
-// Returns the highest strength among the followers that live and that the store serves.
+// Returns the highest `cpu_millicores` of the live followers that the store serves.
 int JobNode::Impl::max_follower_millicores() const
 {
     const Millis now = m_context.loop.now();
--- a/src/jobs.lib/job_record.cpp
+++ b/src/jobs.lib/job_record.cpp
@@ -16,15 +16,15 @@
 
 using Json = nlohmann::json;
 
-/// How long a worker where a task came to nothing is second choice for the step: longer
-/// than a worker that surprised is left alone and tried (5.5 s), so that others make its
-/// trial.
-constexpr Millis turned_away_time { 10000 };
-/// Workers of which a step remembers this: 2.5 kB or so. One that is forgotten early costs
+/// How long a worker stays a second choice for a step after a task failed to start or made
+/// no progress there. It exceeds the 5.5 s for which a worker with unexpected failures is
+/// avoided and then tried again, so that other steps make that trial.
+constexpr Millis second_choice_time { 10000 };
+/// Maximum number of such workers per step, about 2.5 kB. One that is dropped early costs
 /// one more start there.
-constexpr size_t most_turned_away = 32;
+constexpr size_t max_deprioritized_workers = 32;
 
-/// More than queues have priorities.
+/// Greater than any queue's priority.
 constexpr int beyond_share_rank = 1000;
 
 const char* const state_key = "state";
@@ -34,7 +34,7 @@
 const char* const begun_key = "begun";
 const char* const steps_key = "steps";
 
-/// Encodes which tasks are done as one hexadecimal digit for each four.
+/// Encodes the completed tasks as a bit set, one hexadecimal digit per four tasks.
 std::string done_digits(const Step& step)
 {
     const char* const digits = "0123456789abcdef";
@@ -60,9 +60,8 @@
     }
 }
 
-/// Encodes the runs under which workers were lost, by task; each as [run, life,
-/// explained]; and how
-/// often the task was tried since.
+/// Encodes, by task, the runs during which workers were lost, each as [run, run time,
+/// beside another suspect], and how often the task was tried since.
 Json encode_crashes(const Step& step)
 {
     Json crashes = Json::array();
@@ -100,7 +99,7 @@
     }
     json.push_back(step.done > 0 ? done_digits(step) : "");
     Json failures = Json::array();
-    // By run, then by worker: the tasks of a step mostly share a run, and some a worker.
+    // Grouped by run and worker: most tasks of a step share a run, and some share a worker.
     Json runs = Json::object();
     Json checkpoints = Json::array();
     for (size_t i = 0; i < step.tasks.size(); ++i) {
@@ -118,7 +117,7 @@
     json.push_back(std::move(runs));
     json.push_back(std::move(checkpoints));
     json.push_back(step.gang_failed_runs);
-    // Most steps have none, and each byte that is written has its price.
+    // Omitted for the many steps that have none, to keep the row small.
     if (step.has_crashes)
         json.push_back(encode_crashes(step));
     return json;
@@ -154,9 +153,9 @@
             = checkpoint.at(1).get<std::string>();
     }
     step.gang_failed_runs = json.at(6).get<std::vector<int64_t>>();
-    constexpr size_t crashes_at = 7;
-    if (json.size() > crashes_at)
-        apply_crashes(json.at(crashes_at), step);
+    constexpr size_t crashes_index = 7;
+    if (json.size() > crashes_index)
+        apply_crashes(json.at(crashes_index), step);
 }
 
 } // namespace
@@ -182,10 +181,10 @@
     });
 }
 
-Suspicion Step::suspicion(const Task& task, bool wary)
+Suspicion Step::suspicion(const Task& task, bool step_suspect)
 {
     return std::max(task.crashes.suspicion(),
-                    wary ? Suspicion::suspected : Suspicion::none);
+                    step_suspect ? Suspicion::suspected : Suspicion::none);
 }
 
 int Step::unsuspected_waiting() const
@@ -216,8 +215,8 @@
     for (auto entry = deprioritized_workers.begin(); entry != deprioritized_workers.end();)
         entry
             = entry->second <= now ? deprioritized_workers.erase(entry) : std::next(entry);
-    deprioritized_workers[worker] = now + turned_away_time;
-    if (deprioritized_workers.size() <= most_turned_away)
+    deprioritized_workers[worker] = now + second_choice_time;
+    if (deprioritized_workers.size() <= max_deprioritized_workers)
         return;
     deprioritized_workers.erase(std::min_element(
         deprioritized_workers.begin(), deprioritized_workers.end(),
@@ -256,10 +255,10 @@
 
 JobState JobRecord::visible_state() const
 {
-    const JobState present = state();
-    // A cancellation is recorded in a row of its own before this record learns of it.
-    if (!is_final(present) || recorded_state || present == JobState::canceled)
-        return present;
+    const JobState current = state();
+    // A cancellation is recorded in its own row before this record learns of it.
+    if (!is_final(current) || recorded_state || current == JobState::canceled)
+        return current;
     return JobState::active;
 }
 
@@ -356,9 +355,9 @@
 std::string JobRecord::encode_progress() const
 {
     Json json = Json::object();
-    const JobState present = state();
-    if (is_final(present))
-        return encode_final_progress(present, m_accepted.workspace);
+    const JobState current = state();
+    if (is_final(current))
+        return encode_final_progress(current, m_accepted.workspace);
     json[next_key] = m_next_repeat;
     json[finished_key] = m_finished_repeats;
     json[begun_key] = begun;
--- a/src/jobs.lib/job_record.h
+++ b/src/jobs.lib/job_record.h
@@ -2,8 +2,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// A job as its scheduler holds it: each task in exactly one phase, and the progress row
-/// from which a successor rebuilds the same.
+/// A job as held by the scheduler: each task is in exactly one phase, and the progress row
+/// lets a successor rebuild the same state.
 
 #pragma once
 
@@ -23,65 +23,68 @@
 
 namespace pathport::jobs {
 
-/// Where one task is.
+/// Phase of a task.
 enum class TaskPhase {
     waiting, ///< It may be placed once its step may run.
-    intended, ///< A worker is chosen; the intent is not yet recorded, no order is sent.
-    starting, ///< The order is under way.
+    /// A worker is chosen, but the intent is not recorded and no order is sent yet.
+    intended,
+    starting, ///< The start order is in flight.
     running,
-    stopping, ///< It was told to stop; its end has not been listed yet.
-    in_doubt, ///< It may run on a worker that doesn't answer; waits for that worker.
+    stopping, ///< It was told to stop, but the worker has not listed its end yet.
+    in_doubt, ///< It may run on a worker that does not answer, and waits for that worker.
     done,
 };
 
-/// One task.
+/// State of one task.
 struct Task {
     TaskPhase phase = TaskPhase::waiting;
-    std::vector<int64_t> failed_runs; ///< Runs that have ended `failed`.
-    int64_t run = 0; ///< Its last run.
+    std::vector<int64_t> failed_runs; ///< Runs that ended as `failed`.
+    int64_t run = 0; ///< Id of its last run.
     int64_t ended_run = 0; ///< The last run that a worker listed as ended.
-    std::string worker; ///< Where it is intended, starting, running, stopping or in doubt.
-    std::string checkpoint; ///< To go on from.
-    std::string failed_on; ///< The worker where it failed last.
-    Millis failed_at; ///< When it did, under this leader.
-    std::string ticket; ///< Of the intended start.
-    CrashRecord crashes; ///< What is held against it for workers that were lost.
-    Millis requeued_at; ///< When it last came to wait again, under this leader.
-    Millis verdict_at; ///< It waits until then, to be given up or tried again.
-    Millis placed_at; ///< When the worker was chosen.
-    Millis ordered_at; ///< When its order was sent, so its run is no older.
-    bool adopted = false; ///< An earlier leader started it, nobody here knows when.
-    int percent = 0; ///< As last reported.
+    /// Worker where it is intended, starting, running, stopping or in doubt.
+    std::string worker;
+    std::string checkpoint; ///< Checkpoint from which to resume.
+    std::string failed_on; ///< Worker where it last failed.
+    Millis failed_at; ///< When it last failed, under this leader.
+    std::string ticket; ///< Ticket for the intended start.
+    CrashRecord crashes; ///< Losses of workers that are attributed to it.
+    Millis requeued_at; ///< When it last returned to waiting, under this leader.
+    /// It waits until this time for the decision to give up or try again.
+    Millis verdict_at;
+    Millis placed_at; ///< When its worker was chosen.
+    Millis ordered_at; ///< When its order was sent; its run is no older.
+    bool adopted = false; ///< An earlier leader started it, at an unknown time.
+    int percent = 0; ///< Progress as last reported.
     Millis percent_at; ///< When `percent` last changed.
-    Millis listed_at; ///< When its worker last listed it, or accepted it.
-    int speed_percent = 100; ///< The share of its speed that it was last told.
+    Millis listed_at; ///< When its worker last listed or accepted it.
+    int speed_percent = 100; ///< Percentage of full speed that it was last set to.
 
-    /// Returns whether a worker may be running it, or is about to.
+    /// Returns whether a worker may be running it or is about to.
     bool placed() const { return phase != TaskPhase::waiting && phase != TaskPhase::done; }
 };
 
-/// What is known of one worker's verdict for a step.
+/// The advisor's last verdict on one worker for a step.
 struct Permission {
     bool allowed = false;
     std::string ticket;
-    Millis expires; ///< After it the ticket must not be used.
-    bool no_ticket = false; ///< The last answer about it brought no ticket.
-    int refusals = 0; ///< Such answers in a row, up to a bound.
-    Millis ask_again_at; ///< A refused worker is not asked about before it.
+    Millis expires; ///< The ticket must not be used after this time.
+    bool no_ticket = false; ///< The last answer about the worker had no ticket.
+    int refusals = 0; ///< Consecutive answers without a ticket, up to a limit.
+    Millis ask_again_at; ///< A refused worker is not queried again before this time.
 
     bool holds(Millis now) const { return allowed && now < expires; }
 };
 
-/// The advice that was had for a step.
+/// The advice received for a step.
 struct StepAdvice {
-    /// Those not in it weren't asked about. Each pass reads those of all steps that wait,
-    /// so they lie side by side.
+    /// Workers that are missing have not been queried. Each scheduling pass reads the
+    /// entries of all waiting steps, so they are stored contiguously.
     boost::container::flat_map<WorkerNumber, Permission> workers;
     bool asking = false;
-    Millis verdicts_at; ///< When the last new verdicts came.
-    Millis tickets_until; ///< No ticket holds any more from then on.
-    Millis retry_at; ///< No call before it.
-    int unhelpful_answers = 0; ///< Answers in a row that helped to place nothing.
+    Millis verdicts_at; ///< When the last new verdicts were received.
+    Millis tickets_until; ///< All tickets have expired by this time.
+    Millis retry_at; ///< No query before this time.
+    int unhelpful_answers = 0; ///< Consecutive answers that did not lead to a placement.
 };
 
 /// One step of one repeat of a job.
@@ -90,40 +93,45 @@
     int index = 0;
     const StepSpec* spec = nullptr;
     std::vector<Task> tasks;
-    int done = 0; ///< Tasks in phase done.
-    std::vector<int64_t> gang_failed_runs; ///< Runs of the gang of which a member failed.
-    std::set<std::string> failed_workers; ///< Where tasks of it failed, under this leader.
-    bool has_crashes = false; ///< Something is, or was, held against one of its tasks.
-    bool at_bound = false; ///< It could not be placed whole for its workspace's bound.
-    bool has_survivor = false; ///< A run of one of its tasks is known to have lived on.
-    int64_t gang_run = 0; ///< The run that is placed at present.
+    int done = 0; ///< Number of tasks in phase done.
+    std::vector<int64_t> gang_failed_runs; ///< Runs of the gang in which a member failed.
+    /// Workers where its tasks failed, under this leader.
+    std::set<std::string> failed_workers;
+    /// A loss of a worker is or was attributed to one of its tasks.
+    bool has_crashes = false;
+    bool at_bound = false; ///< Its workspace's bound prevented a complete placement.
+    bool has_survivor = false; ///< A run of one of its tasks is known to have survived.
+    int64_t gang_run = 0; ///< The gang's run that is placed at present.
     StepAdvice advice;
-    /// Workers kept free for a gang while it waits for tickets or for tasks that end.
+    /// Workers reserved for a gang while it waits for tickets or for tasks to end.
     std::vector<WorkerNumber> reserved_workers;
     Millis reserved_until;
-    Millis placement_tried_at; ///< When a pass last looked for room for it.
-    Millis next_placement_at; ///< No look for room before it, unless advice comes.
-    Millis wait_logged_at; ///< When the log last told why it waits.
-    Millis idle_since; ///< Since when nothing of it is placed though it might; else zero.
-    /// Workers at which a start of a task came to nothing or a task stood still, and until
-    /// when they are second choice. A bounded number of them.
+    Millis placement_tried_at; ///< When a scheduling pass last tried to place it.
+    Millis next_placement_at; ///< Not tried again before this time unless advice arrives.
+    Millis wait_logged_at; ///< When the reason for its wait was last logged.
+    /// Since when nothing of it is placed although it may run; otherwise zero.
+    Millis idle_since;
+    /// Workers where a start failed or a task made no progress, and until when the step
+    /// uses them only as a second choice. Limited in number.
     std::map<std::string, Millis> deprioritized_workers;
 
     bool finished() const { return done == static_cast<int>(tasks.size()); }
     /// Returns the step's name: "<job>.<repeat>.<step>".
     std::string name(const std::string& job) const;
     int count(TaskPhase phase) const;
-    /// Returns whether a task of it is suspected of crashing workers, and none is known to
-    /// have lived on: as tasks of one step behave alike, all are suspected then.
+    /// Returns whether one of its tasks is suspected of crashing workers and none is known
+    /// to have survived. As the tasks of a step behave alike, all are suspected in that
+    /// case.
     bool is_suspect() const;
-    /// Returns what speaks against a task; `wary` as wary() tells.
-    static Suspicion suspicion(const Task& task, bool wary);
-    /// Returns how many tasks wait that are not suspected of crashing workers.
+    /// Returns the suspicion against a task; `step_suspect` is the result of is_suspect().
+    static Suspicion suspicion(const Task& task, bool step_suspect);
+    /// Returns the number of waiting tasks that are not suspected of crashing workers.
     int unsuspected_waiting() const;
-    /// Returns the numbers of the tasks that wait, those under suspicion only if asked for.
+    /// Returns the indices of the waiting tasks, optionally with the suspected ones.
     std::vector<size_t> waiting_tasks(bool with_suspects) const;
     int placed() const;
-    /// Notes that a task came to nothing at `worker`.
+    /// Makes `worker` a second choice, after a task failed to start or made no progress
+    /// there.
     void deprioritize(const std::string& worker, Millis now);
 };
 
@@ -145,52 +153,54 @@
     const AcceptedJob& accepted() const { return m_accepted; }
     const std::string& id() const { return m_accepted.id; }
     Millis seen() const { return m_seen; }
-    /// Returns its place in the order of work, 0 first: that of its queue, but behind all
-    /// others for what is beyond its workspace's share.
+    /// Returns its rank, where 0 goes first: its queue's priority, but behind all others
+    /// for jobs beyond their workspace's share.
     int rank() const;
 
-    callers::WorkspaceNumber workspace = callers::UsageLedger::none; ///< Whose it is.
-    bool beyond_share = false; ///< Its workspace had sent more than it may count on.
+    callers::WorkspaceNumber workspace = callers::UsageLedger::none; ///< Owning workspace.
+    bool beyond_share = false; ///< Its workspace had submitted more than its fair share.
     bool canceled = false; ///< A cancellation is recorded.
     bool retries_exhausted = false; ///< A task has failed too often.
-    bool loaded = false; ///< An earlier leader may have known it.
-    bool begun = false; ///< A task has been started at least once.
-    std::optional<JobState> recorded_state; ///< The final state that its row holds.
+    /// It was loaded from the store, so an earlier leader may have known it.
+    bool loaded = false;
+    bool begun = false; ///< A task was started at least once.
+    std::optional<JobState> recorded_state; ///< Final state in its row.
 
-    /// Returns the state as of what is known, recorded or not.
+    /// Returns the current state, recorded or not.
     JobState state() const;
-    /// Returns the state that a client may be shown: a final one only once it is recorded.
+    /// Returns the state to report to clients: a final state only once it is recorded.
     JobState visible_state() const;
-    /// Returns whether no task of it is to be started any more.
+    /// Returns whether none of its tasks may be started any more.
     bool closed() const { return is_final(state()); }
 
-    /// Returns the repeats that have begun and not finished, by number.
+    /// Returns the repeats in progress, by number.
     std::map<int, Repeat>& repeats() { return m_repeats; }
     const std::map<int, Repeat>& repeats() const { return m_repeats; }
-    /// Returns the wall time at which the next repeat falls due, or nothing when there is
-    /// none left. Repeat 0 of a job without times is due at once.
+    /// Returns the Unix time at which the next repeat is due, or nothing if none is left.
+    /// Repeat 0 of a job without a schedule is due at once.
     std::optional<int64_t> next_due() const;
-    /// Begins the next repeat.
+    /// Starts the next repeat.
     Repeat& begin_repeat();
-    /// Drops a finished repeat.
+    /// Removes a finished repeat.
     void finish_repeat(int number);
 
-    /// Returns the step, or nothing when its repeat isn't under way.
+    /// Returns the step, or nullptr if its repeat is not in progress.
     Step* step(int repeat, int index);
-    /// Returns the task, or nothing when its repeat isn't under way.
+    /// Returns the task, or nullptr if its repeat is not in progress.
     Task* task(const TaskId& id);
-    /// Returns whether all steps that `step` comes after are done.
+    /// Returns whether all steps on which `step` depends are done.
     bool dependencies_met(const Step& step) const;
 
-    /// Returns the longest chain of expected run times over its steps.
+    /// Returns the length of the critical path through its steps, by expected run times.
     int64_t longest_chain_ms();
-    /// Returns the same over what is left of the first repeat that is under way.
+    /// Returns the length of the critical path through the unfinished steps of the first
+    /// repeat in progress.
     int64_t remaining_chain_ms() const;
 
     /// Encodes the progress row.
     std::string encode_progress() const;
-    /// Takes over what a progress row holds. Tasks with a recorded worker become
-    /// `in_doubt`. Returns false when it is malformed.
+    /// Applies the content of a progress row. Tasks with a recorded worker become
+    /// `in_doubt`. Returns false if the row is malformed.
     bool apply_progress(const std::string& text);
 
 private:
@@ -199,15 +209,15 @@
     AcceptedJob m_accepted;
     Millis m_seen;
     std::map<int, Repeat> m_repeats;
-    int64_t m_longest_chain_ms = -1; ///< Below 0 until it is worked out.
+    int64_t m_longest_chain_ms = -1; ///< Negative until it is computed.
     int m_next_repeat = 0;
     int m_finished_repeats = 0;
 };
 
 /// Encodes the progress row of a job of `workspace` in its final state.
 std::string encode_final_progress(JobState state, const std::string& workspace = {});
-/// Returns the final state in a progress row without building the job; nothing when it has
-/// none.
+/// Returns the final state in a progress row without decoding the rest; nothing if the job
+/// is not final.
 std::optional<JobState> final_state_of_progress(const std::string& text);
 /// Returns the workspace in a progress row with a final state; "" when it has none.
 std::string workspace_of_final_progress(const std::string& text);
