--- a/src/jobs.lib/leadership.cpp
+++ b/src/jobs.lib/leadership.cpp
@@ -16,36 +16,38 @@
 namespace {
 
 constexpr Millis heartbeat_interval { 250 };
-/// With many nodes each asks less often: the first of them to miss a leader does so as soon
-/// as before, and 146 that ask four times a second are 584 exchanges for the leader. It
-/// stays below the time after which the leader looks after a follower itself.
-constexpr Millis longest_heartbeat_interval { 500 };
+/// In large cells, heartbeats are sent less often: the first of many nodes detects a lost
+/// leader as quickly, and 146 nodes with four heartbeats a second would cost the leader 584
+/// exchanges a second. The interval stays below the time after which the leader probes a
+/// follower itself.
+constexpr Millis max_heartbeat_interval { 500 };
 constexpr int64_t heartbeat_interval_per_node_ms = 4;
 constexpr Millis heartbeat_timeout { 300 };
-/// Pause before a leader whose address refused a connection is asked again.
-constexpr Millis refused_pause { 40 };
-/// Refusals in a row after which the leader counts as dead.
-constexpr int refusals_of_a_dead_leader = 2;
-/// A silent leader counts as gone when its head row has stood still for so long. It writes
-/// the row several times in that time.
-constexpr Millis standing_time { 600 };
-/// Added to that and to the time that stronger nodes are given, for each unit of time that
-/// the store takes for a read: a slow store holds up the leader's writes and the claims.
+/// Delay before the next heartbeat after a refused connection.
+constexpr Millis refused_retry_delay { 40 };
+/// Consecutive refused connections after which the leader is considered dead.
+constexpr int max_refusals = 2;
+/// An unresponsive leader is considered gone when its head row has not changed for this
+/// long. A live leader writes the row several times in that period.
+constexpr Millis head_stall_timeout { 600 };
+/// Multiple of the store's last read time that is added to `head_stall_timeout` and to
+/// `weaker_node_delay`: a slow store delays both the leader's writes and other nodes'
+/// claims.
 constexpr int64_t slow_store_multiple = 3;
-/// Pause between reads of the rows of a silent leader.
-constexpr Millis silent_read_pause { 120 };
-/// A node that the rows name may not have heard yet that its claim took effect.
-constexpr Millis claim_patience { 600 };
-constexpr Millis claim_wait { 50 };
-constexpr Millis store_retry { 100 };
-/// Claims of several nodes are spread over this time.
+/// Interval at which the rows are read while the leader does not answer.
+constexpr Millis unresponsive_read_interval { 120 };
+/// A node that the rows name as leader may not yet know that its claim took effect.
+constexpr Millis claim_grace { 600 };
+constexpr Millis claim_recheck_delay { 50 };
+constexpr Millis store_retry_delay { 100 };
+/// Claims are delayed at random by up to this, so that several nodes don't claim at once.
 constexpr uint64_t claim_spread_ms = 40;
-/// A node waits for so long while stronger ones may claim: a heartbeat's interval, within
-/// which they notice the same, and the time of a claim.
-constexpr Millis weaker_delay { 400 };
+/// A node waits this long for more powerful nodes to claim first: a heartbeat interval,
+/// within which they detect the same, plus the time of a claim.
+constexpr Millis weaker_node_delay { 400 };
 constexpr Millis read_timeout { 1000 };
-/// The leader counts as seen for so long after an answer.
-constexpr Millis seen_time { 900 };
+/// A leader counts as responsive for this long after an answer.
+constexpr Millis responsive_time { 900 };
 
 } // namespace
 
@@ -128,7 +130,7 @@
 
 bool Leadership::leader_responsive() const
 {
-    return m_leading || m_loop.now() - m_leader_answered_at < seen_time;
+    return m_leading || m_loop.now() - m_leader_answered_at < responsive_time;
 }
 
 void Leadership::heartbeat_now()
@@ -154,7 +156,7 @@
         || leader.identity.incarnation == m_identity.incarnation)
         return;
     follow_new_leader(leader);
-    // The rows, once they are read again, have the last word.
+    // The rows are authoritative once they have been read again.
     m_leader_version = 0;
     m_claim_wanted = false;
     schedule_follow(Millis(0));
@@ -197,22 +199,23 @@
     }));
 }
 
-// While a claim is under way, its own answer decides.
+// Ignored while a claim is in flight, since the claim's own result decides.
 void Leadership::rows_read(const StoreResult& result)
 {
     if (m_leading || m_retired || m_claiming)
         return;
     if (result.status != StoreStatus::ok) {
-        // Without the store this node can't claim. It asks the leader that was, and others.
+        // Without the store this node can't claim; it asks the previous leader and other
+        // nodes.
         m_listener.leader_unknown();
         if (m_rows_known)
-            schedule_follow(store_retry);
+            schedule_follow(store_retry_delay);
         else
-            m_loop.after(store_retry, m_lifetime.wrap([this] { read_rows(); }));
+            m_loop.after(store_retry_delay, m_lifetime.wrap([this] { read_rows(); }));
         return;
     }
     const int64_t epoch = m_leader.epoch;
-    const std::string followed = m_leader.identity.address;
+    const std::string previous_address = m_leader.identity.address;
     m_rows_known = true;
     m_leader_version = 0;
     m_head_version = 0;
@@ -229,7 +232,7 @@
         }
     }
     if (m_leader.epoch != epoch) {
-        m_predecessor = followed;
+        m_predecessor = previous_address;
         follow_new_leader(m_leader);
         m_claim_wanted = false;
     }
@@ -240,20 +243,20 @@
 {
     const bool own_row = m_leader.identity.incarnation == m_identity.incarnation;
     if (own_row && m_head.handed_over() && m_head.epoch == m_leader.epoch) {
-        // Whoever claims later does so after this read, from whose beginning the lease
-        // counts.
+        // Any later claim is made after this read, so the lease counts from the read's
+        // start.
         m_claimed_head = m_head;
         become_leader(m_head_version, m_read_started);
         return;
     }
     if (own_row && m_head == m_claimed_head) {
-        // A claim whose answer was lost took effect.
+        // A claim whose reply was lost took effect.
         become_leader(m_head_version, m_claim_started);
         return;
     }
-    const bool unled
+    const bool no_leader
         = m_leader.epoch == 0 || own_row || m_leader.identity.address == m_identity.address;
-    if (unled || m_claim_wanted) {
+    if (no_leader || m_claim_wanted) {
         claim();
         return;
     }
@@ -266,11 +269,11 @@
         m_stalled_head_version = m_head_version;
         m_head_stalled_since = now;
     }
-    if (now - m_head_stalled_since >= standing_time + slow_store_allowance()) {
+    if (now - m_head_stalled_since >= head_stall_timeout + slow_store_allowance()) {
         claim();
         return;
     }
-    schedule_follow(silent_read_pause);
+    schedule_follow(unresponsive_read_interval);
 }
 
 void Leadership::follow()
@@ -280,7 +283,7 @@
     ask_leader();
 }
 
-// One heartbeat at a time is open to a leader; its end goes on with what is to follow.
+// At most one heartbeat to a leader is open; its completion schedules the next step.
 void Leadership::ask_leader()
 {
     if (m_open_heartbeat_epoch == m_leader.epoch)
@@ -333,26 +336,26 @@
     }
     const Millis now = m_loop.now();
     const bool same_process = answer.incarnation == m_leader.identity.incarnation;
-    if (same_process && !answer.leads && now - m_leader_known_since < claim_patience) {
-        schedule_follow(claim_wait);
+    if (same_process && !answer.leads && now - m_leader_known_since < claim_grace) {
+        schedule_follow(claim_recheck_delay);
         return;
     }
-    // It resigned, was deposed or is another process; the rows tell.
+    // It resigned, was deposed or is another process; the rows tell which.
     m_claim_wanted = true;
     read_rows();
 }
 
 Millis Leadership::next_heartbeat_delay() const
 {
-    const auto wanted
+    const auto interval
         = Millis(static_cast<int64_t>(m_group_size) * heartbeat_interval_per_node_ms);
-    return std::clamp(wanted, heartbeat_interval, longest_heartbeat_interval);
+    return std::clamp(interval, heartbeat_interval, max_heartbeat_interval);
 }
 
 void Leadership::on_heartbeat_refused()
 {
-    if (++m_refusals < refusals_of_a_dead_leader) {
-        schedule_follow(refused_pause);
+    if (++m_refusals < max_refusals) {
+        schedule_follow(refused_retry_delay);
         return;
     }
     m_claim_wanted = true;
@@ -361,8 +364,8 @@
 
 void Leadership::on_heartbeat_timeout()
 {
-    const bool first = !m_leader_silent;
-    if (first) {
+    const bool first_timeout = !m_leader_silent;
+    if (first_timeout) {
         m_leader_silent = true;
         m_stalled_head_version = -1;
         log_event(LogLevel::warn, "leader_silent",
@@ -371,10 +374,10 @@
                     { "answered_ms_ago", (m_loop.now() - m_leader_answered_at).count() } });
     }
     read_rows();
-    // One heartbeat may be lost on a connection that went silent, and reading the rows may
-    // take a second on another one: asked once more meanwhile, a leader that is well counts
-    // as seen again 0.3 s after the loss, not after up to 1.4 s (leadership_test).
-    if (first && m_reading)
+    // A heartbeat may be lost on a dead connection, and the read of the rows may take a
+    // second on another one. A second heartbeat meanwhile makes a healthy leader count as
+    // responsive 0.3 s after the loss instead of up to 1.4 s (leadership_test).
+    if (first_timeout && m_reading)
         ask_leader();
 }
 
@@ -397,8 +400,8 @@
     m_loop.after(spread, m_lifetime.wrap([this] { send_claim(); }));
 }
 
-// Returns whether a stronger node is known that should lead instead. A node that has just
-// started knows of none but the leader that was.
+// Returns whether a more powerful node is known that should lead instead. A node that has
+// just started knows only of the previous leader.
 bool Leadership::should_yield() const
 {
     return m_identity.cpu_millicores
@@ -410,11 +413,11 @@
     return Millis(slow_store_multiple * m_read_time.count());
 }
 
-// Waits and looks at the rows again; this node claims if they still name the same leader.
+// Waits, then reads the rows again; this node claims if they still name the same leader.
 void Leadership::defer_claim()
 {
     m_deferring = true;
-    const auto look_again = [this, epoch = m_leader.epoch] {
+    const auto recheck = [this, epoch = m_leader.epoch] {
         m_deferring = false;
         if (m_leading || m_retired || m_leader.epoch != epoch)
             return;
@@ -422,7 +425,7 @@
         m_claim_wanted = true;
         read_rows();
     };
-    m_loop.after(weaker_delay + slow_store_allowance(), m_lifetime.wrap(look_again));
+    m_loop.after(weaker_node_delay + slow_store_allowance(), m_lifetime.wrap(recheck));
 }
 
 void Leadership::send_claim()
@@ -430,7 +433,7 @@
     if (m_retired)
         return;
     LeaderValue leader { m_leader.epoch + 1, m_identity };
-    // What earlier leaders left is passed on until this one has found it out.
+    // The previous leaders' entries are carried over until this leader has resolved them.
     m_claimed_head = HeadValue { leader.epoch, 0, m_identity.incarnation,
                                  m_head.unrecorded_task_workers, m_head.silent };
     m_claim_started = m_loop.now();
@@ -440,36 +443,36 @@
     write.checks.push_back({ lead_row(head_key), m_head_version });
     write.puts.push_back({ lead_row(leader_key), encode(leader) });
     write.puts.push_back({ lead_row(head_key), encode(m_claimed_head) });
-    m_writer.send(write, [this, asked = m_claim_started](const StoreResult& result) {
+    m_writer.send(write, [this, sent_at = m_claim_started](const StoreResult& result) {
         m_claiming = false;
-        claim_answered(result, asked);
+        claim_answered(result, sent_at);
     });
 }
 
-void Leadership::claim_answered(const StoreResult& result, Millis asked)
+void Leadership::claim_answered(const StoreResult& result, Millis sent_at)
 {
     log_event(LogLevel::info, "claim",
               { { "epoch", m_claimed_head.epoch },
                 { "instead_of", m_leader.identity.node },
                 { "won", claim_version(result) ? "yes" : "no" },
                 { "status", static_cast<int>(result.status) },
-                { "after_ms", (m_loop.now() - asked).count() } });
+                { "after_ms", (m_loop.now() - sent_at).count() } });
     if (m_retired)
         return;
-    const std::optional<int64_t> won_at = claim_version(result);
-    if (won_at) {
+    const std::optional<int64_t> claimed_version = claim_version(result);
+    if (claimed_version) {
         m_leader = LeaderValue { m_claimed_head.epoch, m_identity };
-        become_leader(*won_at, asked);
+        become_leader(*claimed_version, sent_at);
         return;
     }
-    // The rows tell whether somebody else was first, or whether this claim took effect.
-    m_loop.after(result.status == StoreStatus::conflict ? Millis(0) : store_retry,
+    // The rows tell whether another node was first or this claim took effect.
+    m_loop.after(result.status == StoreStatus::conflict ? Millis(0) : store_retry_delay,
                  m_lifetime.wrap([this] { read_rows(); }));
 }
 
-// Returns the version of the head row if the claim took effect. Both lead rows are put by
-// every claim and by claims alone, so the leader's row, with this node and epoch, proves
-// the head's as well.
+// Returns the version of the head row if the claim took effect. Every claim writes both
+// rows, and only claims write both, so the leader row with this node and epoch proves that
+// the head row was written as well.
 std::optional<int64_t> Leadership::claim_version(const StoreResult& result) const
 {
     if (result.status == StoreStatus::ok)
--- a/src/jobs.lib/leadership.h
+++ b/src/jobs.lib/leadership.h
@@ -2,8 +2,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Which node leads. A leader is named by rows of the store; the others ask it several
-/// times a second whether it still leads, and claim its place when it doesn't.
+/// Leader election. Rows of the store name the leader; the other nodes send it a heartbeat
+/// several times a second and claim its place when it no longer leads.
 
 #pragma once
 
@@ -21,15 +21,15 @@
 
 namespace pathport::jobs {
 
-/// Who a process is.
+/// Identity of a node's process.
 struct NodeIdentity {
     std::string node;
-    std::string address; ///< Where it takes peers' messages.
-    std::string incarnation; ///< Changes with each start.
+    std::string address; ///< Address on which it receives peers' messages.
+    std::string incarnation; ///< Differs for each start of the process.
     int cpu_millicores = 0; ///< As in NodeSetup.
 };
 
-/// What the leader row holds.
+/// Content of the leader row.
 struct LeaderValue {
     int64_t epoch = 0;
     NodeIdentity identity;
@@ -38,57 +38,57 @@
 std::string encode(const LeaderValue& leader);
 std::optional<LeaderValue> decode_leader(const std::string& text);
 
-/// Told by the election.
+/// Receives the events of the election.
 class LeadershipListener {
 public:
     virtual ~LeadershipListener() = default;
 
-    /// This node leads from now on; `predecessor` is where the earlier leader took
-    /// messages.
+    /// Called when this node becomes the leader; `predecessor` is the address on which the
+    /// previous leader received messages.
     virtual void elected(const Claim& claim, const std::string& predecessor) = 0;
-    /// Fills in what a heartbeat to the leader tells about this node.
+    /// Fills in this node's fields of a heartbeat to the leader.
     virtual void fill_heartbeat(PeerRequest& request) = 0;
-    /// The leader has answered a heartbeat.
+    /// Called when the leader has answered a heartbeat.
     virtual void leader_answered(const PeerAnswer& answer) = 0;
-    /// The leader that was known is gone, and the store does not tell who follows it.
+    /// Called when the known leader is gone and its successor can't be read from the store.
     virtual void leader_unknown() = 0;
 };
 
-/// The election as one node takes part in it.
+/// One node's participation in the election.
 class Leadership {
 public:
     Leadership(EventLoop& loop, JobStore& store, PeerClient& peers, NodeIdentity identity,
                LeadershipListener& listener);
     ~Leadership();
 
-    /// Begins: reads who leads, and follows or claims.
+    /// Starts: reads the rows, then follows the leader or claims leadership.
     void begin();
-    /// Stops taking part, for the end of the process.
+    /// Leaves the election, when the process shuts down.
     void retire();
-    /// This node leads no more: follow whoever does.
+    /// Called when this node has lost leadership; it then follows the new leader.
     void deposed();
 
     bool leading() const { return m_leading; }
     int64_t epoch() const { return m_leader.epoch; }
-    /// Returns the address of the leader, or "" when none is known or this node leads.
+    /// Returns the address of the leader, or "" if none is known or this node leads.
     std::string leader_address() const;
-    /// Returns whether the leader has answered lately.
+    /// Returns whether the leader has answered recently.
     bool leader_responsive() const;
-    /// Sets how many nodes ask the leader.
+    /// Sets the number of nodes that send heartbeats to the leader.
     void set_group_size(size_t nodes) { m_group_size = nodes; }
-    /// Asks the leader now instead of at the next regular time.
+    /// Sends the next heartbeat now instead of at its regular time.
     void heartbeat_now();
-    /// This node led and has handed over to `successor`.
+    /// Called when this node, as the leader, has handed over to `successor`.
     void handed_over(const LeaderValue& successor);
-    /// The leader of `epoch` says that it gives its place up, or that it has handed over to
-    /// this node, as the rows then tell.
+    /// Called when the leader of `epoch` has resigned or has handed over to this node; the
+    /// rows tell which.
     void leader_resigned(int64_t epoch);
-    /// Another node says who leads. It is followed if its epoch is later, also while the
-    /// store does not serve this node.
+    /// Called when another node announces `leader`, which is followed if its epoch is
+    /// later, also while the store is unavailable to this node.
     void leader_announced(const LeaderValue& leader);
-    /// Returns who leads, as well as it is known.
+    /// Returns the last known leader.
     const LeaderValue& leader() const { return m_leader; }
-    /// Promises not to claim before `until`.
+    /// Promises not to claim leadership before `until`.
     void promise_no_claim_until(Millis until)
     {
         m_no_claim_until = std::max(m_no_claim_until, until);
@@ -111,7 +111,7 @@
     Millis slow_store_allowance() const;
     void defer_claim();
     void send_claim();
-    void claim_answered(const StoreResult& result, Millis asked);
+    void claim_answered(const StoreResult& result, Millis sent_at);
     std::optional<int64_t> claim_version(const StoreResult& result) const;
     void become_leader(int64_t head_version, Millis claimed);
 
@@ -125,28 +125,31 @@
     bool m_claiming = false;
     bool m_reading = false;
     bool m_rows_known = false;
-    bool m_claim_wanted = false; ///< Claim when the rows have been read.
-    bool m_deferring = false; ///< Stronger nodes are given time to claim first.
-    bool m_deferred = false; ///< They have had it, for the present leader's place.
-    size_t m_group_size = 1; ///< Nodes that ask the leader.
-    int m_max_peer_millicores = 0; ///< Among the other followers, as the leader last told.
-    Millis m_read_time; ///< How long the last read of the rows took.
-    Millis m_read_started; ///< When the last read of the rows began.
-    LeaderValue m_leader; ///< As of the last read; epoch 0 when there is none.
+    bool m_claim_wanted = false; ///< Claim leadership once the rows have been read.
+    bool m_deferring = false; ///< Waiting for more powerful nodes to claim first.
+    bool m_deferred = false; ///< That wait is over for the present leader.
+    size_t m_group_size = 1; ///< Nodes that send heartbeats to the leader.
+    /// Of the other followers, as last reported by the leader.
+    int m_max_peer_millicores = 0;
+    Millis m_read_time; ///< Duration of the last read of the rows.
+    Millis m_read_started; ///< Start of the last read of the rows.
+    LeaderValue m_leader; ///< As of the last read; epoch 0 if there is none.
     int64_t m_leader_version = 0;
     HeadValue m_head;
     int64_t m_head_version = 0;
-    HeadValue m_claimed_head; ///< What the last claim wrote, whether or not it took effect.
+    /// Head written by the last claim, whether or not it took effect.
+    HeadValue m_claimed_head;
     Millis m_claim_started;
-    std::string m_predecessor; ///< Address of the leader that this node has followed.
-    LeaderValue m_announced; ///< The last that another node told of while this one led.
-    Millis m_leader_known_since; ///< When the present leader was first read of.
-    Millis m_leader_answered_at; ///< When the leader last answered that it leads.
-    int m_refusals = 0; ///< In a row, of the leader's address.
+    std::string m_predecessor; ///< Address of the leader that this node followed before.
+    LeaderValue m_announced; ///< Last leader announced by another node while this one led.
+    Millis m_leader_known_since; ///< When this node learned of the present leader.
+    Millis m_leader_answered_at; ///< When the leader last confirmed that it leads.
+    int m_refusals = 0; ///< Consecutive refused connections to the leader.
     static constexpr int64_t no_epoch = -1;
-    int64_t m_open_heartbeat_epoch
-        = no_epoch; ///< Of the leader to whom a heartbeat is open.
-    int64_t m_stalled_head_version = 0; ///< The head's version while the leader is silent.
+    /// Epoch of the leader whose heartbeat is unanswered.
+    int64_t m_open_heartbeat_epoch = no_epoch;
+    /// Version of the head row while the leader does not answer.
+    int64_t m_stalled_head_version = 0;
     Millis m_head_stalled_since;
     bool m_leader_silent = false;
     Millis m_no_claim_until;
--- a/src/jobs.lib/leadership_test.cpp
+++ b/src/jobs.lib/leadership_test.cpp
@@ -2,7 +2,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Elections and heads: what a claim and a write of the head row prove, and what not.
+/// Leader election and head rows: what a claim and a write of the head row prove, and what
+/// they don't.
 
 #define BOOST_TEST_MODULE leadership
 #include <boost/test/unit_test.hpp>
@@ -23,10 +24,10 @@
     LogFixture() { start_log("test", LogLevel::error); }
 };
 
-/// Does writes and gives no answer to them.
-class MuteStore : public JobStore {
+/// Executes writes without ever replying to them.
+class UnresponsiveStore : public JobStore {
 public:
-    MuteStore(emulator::Store& store, emulator::ProcessLoop& loop)
+    UnresponsiveStore(emulator::Store& store, emulator::ProcessLoop& loop)
         : m_store(store)
         , m_port(store, loop, "b")
     {
@@ -52,7 +53,7 @@
     emulator::StorePort m_port;
 };
 
-/// Keeps messages until they are answered by hand.
+/// Holds messages until the test answers them.
 class HeldPeers : public PeerClient {
 public:
     std::vector<PeerReply> open;
@@ -88,16 +89,15 @@
 
 BOOST_TEST_GLOBAL_FIXTURE(LogFixture);
 
-// A claim whose answer is late is seen in the rows, and this node leads; then its
-// answer comes, and the node is elected a second time in the same epoch: another
-// scheduler begins with the old version of the head row, the same fences and the same
-// run ids.
+// Guards against a second election in the same epoch: a claim whose reply is late is found
+// in the rows, the node leads, and then the reply arrives. A second scheduler would start
+// with the old version of the head row, the same fences and the same run ids.
 BOOST_AUTO_TEST_CASE(one_claim_elects_once)
 {
     emulator::World world { 3 };
     emulator::Store store { world };
     emulator::ProcessLoop loop { world };
-    MuteStore port { store, loop };
+    UnresponsiveStore port { store, loop };
     HeldPeers peers;
     Elections elections;
     StoreWrite rows;
@@ -108,12 +108,12 @@
     Leadership leadership(loop, port, peers, { "b", "b", "y", 1000 }, elections);
     leadership.begin();
     world.run_for(Millis(40));
-    BOOST_REQUIRE(peers.open.size() == 1U); // A heartbeat is under way.
+    BOOST_REQUIRE(peers.open.size() == 1U); // A heartbeat is open.
     leadership.leader_resigned(1);
     for (int i = 0; i < 100 && port.writes == 0; ++i)
         world.run_for(Millis(1));
     BOOST_REQUIRE(port.writes == 1);
-    PeerAnswer answer; // That heartbeat's answer.
+    PeerAnswer answer; // The answer to that heartbeat.
     answer.incarnation = "x";
     answer.leads = true;
     answer.resigned = true;
@@ -123,9 +123,9 @@
     BOOST_TEST(elections.count == 1);
 }
 
-// Of a heartbeat that was lost on a silent connection, the follower has to know soon: the
-// rows may have to be read on a silent connection as well, and until the leader is seen
-// again clients' calls are not passed on to it.
+// A follower must detect quickly that a heartbeat was lost on a dead connection: the read
+// of the rows may hang on a dead connection as well, and clients' calls are not forwarded
+// to the leader until it counts as responsive again.
 BOOST_AUTO_TEST_CASE(lost_heartbeat_is_sent_again_while_the_rows_are_read)
 {
     emulator::World world { 4 };
@@ -150,11 +150,11 @@
     peers.open[0](PeerEnd::answered, answer);
     world.run_for(Millis(400));
     BOOST_REQUIRE(peers.open.size() == 2U);
-    store.injected.unresponsive = true; // For this node only, so that the leader is well.
+    store.injected.unresponsive = true; // For this node only; the leader is healthy.
     peers.open[1](PeerEnd::silent, {});
     world.run_for(Millis(5));
     BOOST_REQUIRE(peers.open.size() == 3U);
-    // While that one is open, there is no other to the same leader.
+    // While it is open, no other heartbeat goes to the same leader.
     world.run_for(Millis(290));
     BOOST_TEST(peers.open.size() == 3U);
     peers.open[2](PeerEnd::answered, answer);
@@ -164,9 +164,9 @@
     BOOST_TEST(peers.open.size() > 3U);
 }
 
-// What a second election of one claim leads to: the second log's first write has the
-// head of the first log's first write, and is taken for done though its rows were never
-// written.
+// Guards against a consequence of electing a node twice for one claim: the second log's
+// first write would have the same head as the first log's first write, and would be taken
+// for committed although its rows were never written.
 BOOST_AUTO_TEST_CASE(head_of_another_log_does_not_prove_a_write)
 {
     emulator::World world { 9 };
@@ -185,15 +185,15 @@
     }
     BOOST_REQUIRE(!store.value(progress_row("a")).empty());
     HeadLog second(loop, port, owner, claimed, version, world.now());
-    bool told = false;
-    second.record("b", [&told] { told = true; });
+    bool recorded = false;
+    second.record("b", [&recorded] { recorded = true; });
     world.run_for(Millis(300));
-    BOOST_TEST((!told || !store.value(progress_row("b")).empty()));
+    BOOST_TEST((!recorded || !store.value(progress_row("b")).empty()));
 }
 
-// A head row that can't be read, such as one that the code of before wrote, must not be
-// taken for one that names no worker.
-BOOST_AUTO_TEST_CASE(head_row_of_the_earlier_form_is_understood)
+// A head row in the format of an earlier version must be decoded, and not be taken for one
+// without unrecorded tasks.
+BOOST_AUTO_TEST_CASE(head_row_of_earlier_versions_is_decoded)
 {
     BOOST_TEST(decode_head("[7,44,\"x\",true]").has_value());
     BOOST_TEST(decode_head("[7,44,\"x\",false]").has_value());
--- a/src/jobs.lib/mechanisms.cpp
+++ b/src/jobs.lib/mechanisms.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr const char* names_of_mechanisms[mechanism_count] = {
+constexpr const char* mechanism_names[mechanism_count] = {
     "advice_spread", "advice_shares", "second_choices",  "avoided_workers",
     "slow_workers",  "slack_order",   "preemption",      "reservations",
     "early_orders",  "early_reads",   "write_batching",  "learned_timeouts",
@@ -20,7 +20,7 @@
 
 const char* to_string(Mechanism mechanism)
 {
-    return names_of_mechanisms[static_cast<size_t>(mechanism)];
+    return mechanism_names[static_cast<size_t>(mechanism)];
 }
 
 std::vector<Mechanism> all_mechanisms()
--- a/src/jobs.lib/mechanisms_test.cpp
+++ b/src/jobs.lib/mechanisms_test.cpp
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// The names of mechanisms in the settings for experiments.
+/// Names of mechanisms in the settings of experiments.
 
 #define BOOST_TEST_MODULE mechanisms
 #include <boost/test/unit_test.hpp>
@@ -42,7 +42,7 @@
     BOOST_TEST(!last->uses(Mechanism::archive));
 }
 
-BOOST_AUTO_TEST_CASE(unknown_names_are_refused)
+BOOST_AUTO_TEST_CASE(unknown_names_are_rejected)
 {
     for (const char* names : { "", "preempt", "preemption,", "none,preemption" }) {
         Failure reason;
--- a/src/jobs.lib/payload_cache.cpp
+++ b/src/jobs.lib/payload_cache.cpp
@@ -5,8 +5,8 @@
 
 namespace pathport::jobs {
 
-PayloadCache::PayloadCache(size_t most_bytes)
-    : m_max_bytes(most_bytes)
+PayloadCache::PayloadCache(size_t max_bytes)
+    : m_max_bytes(max_bytes)
 {
 }
 
--- a/src/jobs.lib/payload_cache.h
+++ b/src/jobs.lib/payload_cache.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Payloads of jobs that came by lately, for starts that leave theirs out.
+/// Cache of recent jobs' payloads, for relayed starts that omit them.
 
 #pragma once
 
@@ -13,15 +13,15 @@
 
 namespace pathport::jobs {
 
-/// A bounded number of bytes of payloads; the oldest go first.
+/// A cache of payloads that is limited in size and evicts the oldest entry first.
 class PayloadCache {
 public:
-    /// `most_bytes` bounds the payloads with their names.
-    explicit PayloadCache(size_t most_bytes);
+    /// `max_bytes` limits the total size of payloads and job ids.
+    explicit PayloadCache(size_t max_bytes);
 
-    /// Adds the payload of a job; does nothing when it is there.
+    /// Adds the payload of a job unless it is present.
     void put(const std::string& job, const std::string& payload);
-    /// Returns the payload of a job, or nullptr. The next put() may end its life.
+    /// Returns the payload of a job, or nullptr; valid until the next put().
     const std::string* find(const std::string& job) const;
     size_t bytes() const { return m_bytes; }
 
@@ -29,7 +29,7 @@
     size_t m_max_bytes;
     size_t m_bytes = 0;
     std::unordered_map<std::string, std::string> m_payloads;
-    std::deque<std::string> m_order; ///< Jobs, the oldest first.
+    std::deque<std::string> m_order; ///< Job ids, oldest first.
 };
 
 } // namespace pathport::jobs
--- a/src/jobs.lib/peer_codec.cpp
+++ b/src/jobs.lib/peer_codec.cpp
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// The form in which nodes' messages travel: JSON objects, with default values left out.
+/// Encoding of messages between nodes: JSON objects without default values.
 
 #include <pathport/jobs/peers.h>
 
--- a/src/jobs.lib/progress_row_test.cpp
+++ b/src/jobs.lib/progress_row_test.cpp
@@ -2,8 +2,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// The progress row under random states of a job: a successor rebuilds from it all that it
-/// has to know.
+/// Round trips of the progress row for random job states: a successor must rebuild from it
+/// all that it needs.
 
 #define BOOST_TEST_MODULE progress_row
 #include <boost/test/unit_test.hpp>
@@ -45,7 +45,7 @@
     return job;
 }
 
-/// Brings a task into a state that a scheduler may leave it in.
+/// Puts a task into a random state that a scheduler can leave behind.
 void change_task(Random& random, Step& step, Task& task)
 {
     const TaskPhase phases[]
@@ -92,7 +92,7 @@
         step.gang_failed_runs = { 7340077, 7340090 };
 }
 
-/// Brings a job under way into a state that it may have between two records.
+/// Puts a job into a random state that it can have between two records.
 void change_job(Random& random, JobRecord& job)
 {
     const int begun = job.accepted().spec.has_schedule() ? 1 + below(random, 3) : 1;
@@ -154,7 +154,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(random_jobs_survive_their_rows)
+BOOST_AUTO_TEST_CASE(random_jobs_round_trip)
 {
     for (uint64_t seed = 1; seed <= 2000; ++seed) {
         BOOST_TEST_CONTEXT("seed " << seed)
@@ -166,16 +166,16 @@
             const std::string row = job.encode_progress();
             BOOST_REQUIRE(loaded.apply_progress(row));
             check_job(job, loaded);
-            // The successor's successor finds the same.
-            JobRecord again(job.accepted(), Millis(0));
-            BOOST_REQUIRE(again.apply_progress(loaded.encode_progress()));
-            check_job(loaded, again);
+            // The successor's own successor must decode the same state.
+            JobRecord reloaded(job.accepted(), Millis(0));
+            BOOST_REQUIRE(reloaded.apply_progress(loaded.encode_progress()));
+            check_job(loaded, reloaded);
         }
     }
 }
 
-// A row that was cut short is noticed.
-BOOST_AUTO_TEST_CASE(row_that_is_cut_short_is_refused)
+// A truncated row must be rejected.
+BOOST_AUTO_TEST_CASE(truncated_row_is_rejected)
 {
     Random random(5);
     JobRecord job(random_job(random), Millis(0));
--- a/src/jobs.lib/store_clock.cpp
+++ b/src/jobs.lib/store_clock.cpp
@@ -6,30 +6,30 @@
 namespace pathport::jobs {
 
 namespace {
-/// An answer counts for so long although later ones were slower. Steady clocks that drift
-/// by a thousandth differ by 10 ms after it.
-constexpr Millis answer_life { 10000 };
-/// For that drift and for roundings.
+/// How long a reply is preferred over later, slower ones. Steady clocks that differ in
+/// speed by a thousandth drift apart by 10 ms in this time.
+constexpr Millis sample_lifetime { 10000 };
+/// Allowance for that drift and for rounding.
 constexpr Millis clock_margin { 20 };
 } // namespace
 
-void StoreClock::update(int64_t clock_ms, Millis asked, Millis received)
+void StoreClock::update(int64_t clock_ms, Millis sent_at, Millis received)
 {
-    const bool old = received - m_received > answer_life;
-    const bool quicker = received - asked <= m_received - m_asked;
-    // A clock that does not go on as it did has been set anew.
-    const bool set_anew = clock_ms + clock_margin.count() < m_clock_ms
+    const bool expired = received - m_received > sample_lifetime;
+    const bool faster = received - sent_at <= m_received - m_sent_at;
+    // A clock outside the expected bounds has been reset.
+    const bool was_reset = clock_ms + clock_margin.count() < m_clock_ms
         || clock_ms > latest_at(received) + clock_margin.count();
-    if (known() && !old && !quicker && !set_anew)
+    if (known() && !expired && !faster && !was_reset)
         return;
     m_clock_ms = clock_ms;
-    m_asked = asked;
+    m_sent_at = sent_at;
     m_received = received;
 }
 
 int64_t StoreClock::latest_at(Millis time) const
 {
-    return m_clock_ms + (time - m_asked + clock_margin).count();
+    return m_clock_ms + (time - m_sent_at + clock_margin).count();
 }
 
 Millis StoreClock::reached_by(int64_t clock_ms) const
--- a/src/jobs.lib/store_clock.h
+++ b/src/jobs.lib/store_clock.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// What a node knows of the store's clock, within bounds.
+/// A node's bounds on the store's clock.
 
 #pragma once
 
@@ -12,23 +12,24 @@
 
 namespace pathport::jobs {
 
-/// The store's steady clock as its answers tell of it. The store read it at some time
-/// between the call and the answer, so a time converted to it and back lies later by as
-/// much as the answer took, never earlier.
+/// Tracks the store's monotonic clock from the times in its replies. The store read its
+/// clock at some time between the call and the reply, so a time converted to the store's
+/// clock and back is late by up to the duration of the call, but never early.
 class StoreClock {
 public:
-    /// Takes what an answer says: `clock_ms`, asked for at `asked` and received now.
-    void update(int64_t clock_ms, Millis asked, Millis received);
-    /// Returns whether any answer has told.
+    /// Records the time `clock_ms` of a reply to a call sent at `asked`, received at
+    /// `received`.
+    void update(int64_t clock_ms, Millis sent_at, Millis received);
+    /// Returns whether a time has been recorded.
     bool known() const { return m_clock_ms > 0; }
-    /// Returns what the store's clock shows at the local time `time`, at most.
+    /// Returns an upper bound of the store's clock at the local time `time`.
     int64_t latest_at(Millis time) const;
-    /// Returns the local time by which the store's clock has surely reached `clock_ms`.
+    /// Returns a local time by which the store's clock has certainly reached `clock_ms`.
     Millis reached_by(int64_t clock_ms) const;
 
 private:
     int64_t m_clock_ms = 0;
-    Millis m_asked;
+    Millis m_sent_at;
     Millis m_received;
 };
 
--- a/src/jobs.lib/store_clock_test.cpp
+++ b/src/jobs.lib/store_clock_test.cpp
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Times that one node writes on the store's clock and another one reads.
+/// Times that one node stores on the store's clock and another node reads.
 
 #define BOOST_TEST_MODULE store_clock
 #include <boost/test/unit_test.hpp>
@@ -17,23 +17,22 @@
 
 namespace {
 
-/// A node whose clock differs from the store's by a fixed span.
+/// A node whose clock differs from the store's by a fixed offset.
 struct ClockedNode {
-    int64_t behind_ms = 0; ///< The store's clock less the node's.
+    int64_t offset_ms = 0; ///< The store's clock minus the node's.
     StoreClock clock;
 
-    Millis local(int64_t store_ms) const { return Millis(store_ms - behind_ms); }
-    /// Takes an answer for which the store read its clock at `store_ms`.
-    void answer(int64_t store_ms, int64_t way_there_ms, int64_t way_back_ms)
+    Millis local(int64_t store_ms) const { return Millis(store_ms - offset_ms); }
+    /// Delivers a reply for which the store read its clock at `store_ms`.
+    void reply(int64_t store_ms, int64_t request_ms, int64_t reply_ms)
     {
-        clock.update(store_ms, local(store_ms - way_there_ms),
-                     local(store_ms + way_back_ms));
+        clock.update(store_ms, local(store_ms - request_ms), local(store_ms + reply_ms));
     }
 };
 
 } // namespace
 
-// However long calls and answers take, a time is never taken to be reached before it is.
+// However long calls and replies take, a time must never count as reached too early.
 BOOST_AUTO_TEST_CASE(converted_times_err_on_the_late_side)
 {
     std::mt19937_64 random(5);
@@ -45,8 +44,8 @@
         int64_t store_ms = 5000000;
         for (int answers = 0; answers < 20; ++answers) {
             const int64_t slowest = below(10) == 0 ? 3000 : 20;
-            writer.answer(store_ms, below(slowest), below(slowest));
-            reader.answer(store_ms, below(slowest), below(slowest));
+            writer.reply(store_ms, below(slowest), below(slowest));
+            reader.reply(store_ms, below(slowest), below(slowest));
             store_ms += 100 + below(4000);
         }
         const int64_t over_ms = store_ms + below(9000);
@@ -56,32 +55,32 @@
     }
 }
 
-// The tightest bounds come from the quickest answer, and are kept for a while.
-BOOST_AUTO_TEST_CASE(quick_answer_is_kept)
+// The fastest reply gives the tightest bounds, which are kept for a while.
+BOOST_AUTO_TEST_CASE(fast_reply_is_kept)
 {
     ClockedNode node { 700, {} };
     BOOST_TEST(!node.clock.known());
-    node.answer(100000, 2, 2);
-    node.answer(101000, 900, 900);
+    node.reply(100000, 2, 2);
+    node.reply(101000, 900, 900);
     const int64_t error = node.clock.latest_at(node.local(102000)) - 102000;
     BOOST_TEST(error <= 30);
 }
 
-// A clock that has been set anew is followed at once.
-BOOST_AUTO_TEST_CASE(clock_that_was_set_anew_is_followed)
+// A clock that was reset must be followed at once.
+BOOST_AUTO_TEST_CASE(reset_clock_is_followed)
 {
     ClockedNode node { 0, {} };
-    node.answer(100000, 2, 2);
-    node.behind_ms = 50000; // Its clock was set forward by that.
-    node.answer(151000, 90, 90);
+    node.reply(100000, 2, 2);
+    node.offset_ms = 50000; // The store's clock was set forward by this.
+    node.reply(151000, 90, 90);
     BOOST_TEST(node.clock.latest_at(node.local(152000)) >= 152000);
     BOOST_TEST((node.clock.reached_by(152000) >= node.local(152000)));
-    node.behind_ms = -80000;
-    node.answer(23000, 90, 90);
+    node.offset_ms = -80000;
+    node.reply(23000, 90, 90);
     BOOST_TEST((node.clock.reached_by(24000) >= node.local(24000)));
 }
 
-// Rounded times are shared by workers that were lost together; none comes early.
+// Workers lost together share a rounded time, which must not be earlier than the exact one.
 BOOST_AUTO_TEST_CASE(rounded_times_are_no_earlier)
 {
     SilentWorkers silent;
--- a/src/jobs.lib/store_health.cpp
+++ b/src/jobs.lib/store_health.cpp
@@ -10,13 +10,13 @@
 namespace pathport::jobs {
 
 namespace {
-/// An answer so old says nothing about the present.
-constexpr Millis served_time { 1500 };
-/// A store that has answered nothing for so long, while calls were open, is away.
-constexpr Millis silent_time { 900 };
-/// Refusals so soon after a served call don't make the store count as away.
-constexpr Millis limit_time { 350 };
-/// While the store fails, it is tried at this interval.
+/// A served call proves availability for this long.
+constexpr Millis served_validity { 1500 };
+/// A store that replied to none of its open calls for this long is unavailable.
+constexpr Millis silence_limit { 900 };
+/// Refusals this soon after a served call don't mean that the store is unavailable.
+constexpr Millis refusal_grace { 350 };
+/// Interval of probes while the store is failing.
 constexpr Millis probe_interval { 200 };
 constexpr Millis probe_timeout { 800 };
 } // namespace
@@ -45,49 +45,49 @@
 {
 }
 
-StoreReply StoreHealth::instrument(StoreReply done, const char* call, bool waits)
+StoreReply StoreHealth::instrument(StoreReply done, const char* call, bool is_watch)
 {
-    const int64_t begun = m_loop.now().count();
-    if (!waits)
-        m_open.insert(begun);
-    return m_lifetime.wrap(
-        [this, begun, call, waits, done = std::move(done)](const StoreResult& result) {
-            if (!waits)
-                m_open.erase(m_open.find(begun));
-            if (!waits && result.clock_ms > 0)
-                m_clock.update(result.clock_ms, Millis(begun), m_loop.now());
-            m_metrics.observe_seconds(
-                "pathport_store_call_seconds", double(m_loop.now().count() - begun) / 1000,
-                { { "call", call }, { "outcome", to_string(result.status) } });
-            const bool served = result.status == StoreStatus::ok
-                || result.status == StoreStatus::conflict
-                || result.status == StoreStatus::history_lost;
-            // A lost answer says nothing as long as other calls are answered, and a refusal
-            // may come from a limit as long as others were served just before.
-            const Millis since_served = m_loop.now() - m_served_at;
-            const bool lost_one
-                = result.status == StoreStatus::unknown && m_served_at.count() > begun;
-            const bool refused_one = result.status == StoreStatus::refused && m_last_served
-                && since_served < limit_time;
-            if (lost_one || refused_one) {
-                done(result);
-                return;
-            }
-            if (m_known && served != m_last_served)
-                log_event(LogLevel::info, served ? "store_regained" : "store_lost",
-                          { { "served_ms_ago", (m_loop.now() - m_served_at).count() } });
-            m_known = true;
-            m_last_served = served;
-            if (served)
-                m_served_at = m_loop.now();
-            if (result.clock_ms > 0) {
-                m_clock_ms = result.clock_ms;
-                m_clock_at = m_loop.now();
-            }
-            if (!served)
-                schedule_probe();
+    const int64_t started_at = m_loop.now().count();
+    if (!is_watch)
+        m_open.insert(started_at);
+    return m_lifetime.wrap([this, started_at, call, is_watch,
+                            done = std::move(done)](const StoreResult& result) {
+        if (!is_watch)
+            m_open.erase(m_open.find(started_at));
+        if (!is_watch && result.clock_ms > 0)
+            m_clock.update(result.clock_ms, Millis(started_at), m_loop.now());
+        m_metrics.observe_seconds(
+            "pathport_store_call_seconds", double(m_loop.now().count() - started_at) / 1000,
+            { { "call", call }, { "outcome", to_string(result.status) } });
+        const bool served = result.status == StoreStatus::ok
+            || result.status == StoreStatus::conflict
+            || result.status == StoreStatus::history_lost;
+        // A lost reply means nothing as long as other calls are answered, and a refusal
+        // may be due to a rate limit if other calls were served just before.
+        const Millis since_served = m_loop.now() - m_served_at;
+        const bool lost_reply
+            = result.status == StoreStatus::unknown && m_served_at.count() > started_at;
+        const bool isolated_refusal = result.status == StoreStatus::refused && m_last_served
+            && since_served < refusal_grace;
+        if (lost_reply || isolated_refusal) {
             done(result);
-        });
+            return;
+        }
+        if (m_known && served != m_last_served)
+            log_event(LogLevel::info, served ? "store_regained" : "store_lost",
+                      { { "served_ms_ago", (m_loop.now() - m_served_at).count() } });
+        m_known = true;
+        m_last_served = served;
+        if (served)
+            m_served_at = m_loop.now();
+        if (result.clock_ms > 0) {
+            m_clock_ms = result.clock_ms;
+            m_clock_at = m_loop.now();
+        }
+        if (!served)
+            schedule_probe();
+        done(result);
+    });
 }
 
 Millis StoreHealth::outage() const
@@ -100,8 +100,8 @@
     if (m_known && !m_last_served)
         return true;
     const Millis now = m_loop.now();
-    return !m_open.empty() && now - Millis(*m_open.begin()) > silent_time
-        && now - m_served_at > silent_time;
+    return !m_open.empty() && now - Millis(*m_open.begin()) > silence_limit
+        && now - m_served_at > silence_limit;
 }
 
 void StoreHealth::schedule_probe()
@@ -116,16 +116,16 @@
     }));
 }
 
-void StoreHealth::check(std::function<void()> served_now)
+void StoreHealth::check(std::function<void()> on_served)
 {
     StoreRange range;
     range.table = lead_table;
     range.partition = scheduler_partition;
     range.limit = 1;
     read(range, probe_timeout,
-         [served_now = std::move(served_now)](const StoreResult& result) {
-             if (served_now && result.status == StoreStatus::ok)
-                 served_now();
+         [on_served = std::move(on_served)](const StoreResult& result) {
+             if (on_served && result.status == StoreStatus::ok)
+                 on_served();
          });
 }
 
@@ -147,7 +147,7 @@
 
 bool StoreHealth::served() const
 {
-    return m_known && m_last_served && m_loop.now() - m_served_at < served_time;
+    return m_known && m_last_served && m_loop.now() - m_served_at < served_validity;
 }
 
 int64_t StoreHealth::clock_ms() const
--- a/src/jobs.lib/store_health.h
+++ b/src/jobs.lib/store_health.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// A store that notes how the store behind it fares.
+/// A JobStore wrapper that monitors the availability of the store behind it.
 
 #pragma once
 
@@ -18,7 +18,7 @@
 
 namespace pathport::jobs {
 
-/// Passes calls on and remembers when the store last served this node, and its clock.
+/// Forwards calls, and records when the store last served this node and the store's clock.
 class StoreHealth : public JobStore {
 public:
     StoreHealth(EventLoop& loop, JobStore& store, Metrics& metrics);
@@ -29,23 +29,23 @@
                StoreReply done) override;
     bool receiving_feed() const override { return m_store.receiving_feed(); }
 
-    /// Returns whether the last call that ended was served, not long ago.
+    /// Returns whether the last completed call was served, and recently.
     bool served() const;
-    /// Returns whether the store does not serve this node: the last call that ended was not
-    /// served, or calls have been open for long and none has been served meanwhile.
+    /// Returns whether the store is unavailable to this node: the last completed call was
+    /// not served, or calls have been open for long and none has been served meanwhile.
     bool failing() const;
-    /// Returns for how long it has not served this node; zero while it is not failing.
+    /// Returns the time since it last served this node; zero while it is not failing.
     Millis outage() const;
-    /// Tries the store, so that served() and failing() tell of the present; `served_now` is
-    /// called if it answers.
-    void check(std::function<void()> served_now = {});
-    /// Returns the store's clock as well as it is known; 0 before the first answer.
+    /// Probes the store, so that served() and failing() become current; `on_served` is
+    /// called if it replies.
+    void check(std::function<void()> on_served = {});
+    /// Returns an estimate of the store's clock; 0 before the first reply.
     int64_t clock_ms() const;
-    /// Returns the same within bounds.
+    /// Returns the bounds on the store's clock.
     const StoreClock& clock() const { return m_clock; }
 
 private:
-    StoreReply instrument(StoreReply done, const char* call, bool waits);
+    StoreReply instrument(StoreReply done, const char* call, bool is_watch);
     void schedule_probe();
 
     EventLoop& m_loop;
@@ -54,7 +54,7 @@
     bool m_known = false;
     bool m_last_served = false;
     Millis m_served_at;
-    std::multiset<int64_t> m_open; ///< When the calls without an answer began.
+    std::multiset<int64_t> m_open; ///< Start times of the open calls.
     bool m_probing = false;
     int64_t m_clock_ms = 0;
     Millis m_clock_at;
--- a/src/jobs.lib/store_keys.h
+++ b/src/jobs.lib/store_keys.h
@@ -2,17 +2,19 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Where the job path's rows lie in the store.
+/// Location of the job scheduler's rows in the store:
 ///
-/// | table | part | key | holds | written by |
-/// | --- | --- | --- | --- | --- |
-/// | jobs | j0 to j63, by hash of the id | id | the accepted job | any node, if missing |
-/// | jobs | as above | id + ".cancel" | its cancellation | any node, if the job is there |
-/// | closed | as the job's | id | its final state | the leader, with the end of its job row
-/// | | progress | s | id | its progress | the leader, under the head row | | lead | s |
-/// head | epoch and number of the leader's last write | the leader; a claimer | | lead | s
-/// | leader | who leads | a claimer | | nodes | "" | node name | its address for peers |
-/// that node |
+/// - Table jobs, partition j0 to j63 by hash of the id. Key id: the accepted job, written
+///   by any node if missing. Key id + ".cancel": its cancellation, written by any node if
+///   the job is there.
+/// - Table closed, same partition as the job. Key id: its final state, written by the
+///   leader in the transaction that removes the job row.
+/// - Table progress, partition s. Key id: its progress, written by the leader under the
+///   head row.
+/// - Table lead, partition s. Key head: epoch and number of the leader's last write,
+///   written by the leader or a claimer. Key leader: the leader, written by a claimer.
+/// - Table nodes, partition "". Key node name: its address for peers, written by that
+///   node.
 
 #pragma once
 
@@ -24,8 +26,8 @@
 
 namespace pathport::jobs {
 
-/// A part takes one transaction after the other, so a slow store takes as many at a time as
-/// there are parts.
+/// A partition executes one transaction at a time, so a slow store runs as many in parallel
+/// as there are partitions.
 constexpr int job_partition_count = 64;
 inline const char* const jobs_table = "jobs";
 inline const char* const closed_table = "closed";
@@ -37,13 +39,13 @@
 inline const char* const leader_key = "leader";
 inline const std::string cancel_suffix = ".cancel";
 
-/// Returns the name of the part with this number, below `job_parts`.
+/// Returns the name of the partition with this number, below `job_partition_count`.
 inline std::string job_partition_name(int number)
 {
     return "j" + std::to_string(number);
 }
 
-/// Returns the names of all parts in which jobs lie.
+/// Returns the names of all partitions that hold jobs.
 inline std::vector<std::string> job_partition_names()
 {
     std::vector<std::string> names;
@@ -52,7 +54,7 @@
     return names;
 }
 
-/// Returns the part in which the rows of the job `id` lie.
+/// Returns the partition that holds the rows of the job `id`.
 inline std::string job_partition(const std::string& id)
 {
     return job_partition_name(static_cast<int>(stable_hash(id) % job_partition_count));
@@ -83,7 +85,7 @@
     return { lead_table, scheduler_partition, key };
 }
 
-/// Returns the id of the job that a cancellation's key names, or "" for another key.
+/// Returns the id of the job that a cancellation's key refers to, or "" for any other key.
 inline std::string canceled_job(const std::string& key)
 {
     const size_t length = cancel_suffix.size();
--- a/src/jobs.lib/store_writer.cpp
+++ b/src/jobs.lib/store_writer.cpp
@@ -9,20 +9,21 @@
 
 namespace {
 
-/// After so many times the usual latency an answer is overdue.
+/// A reply is overdue after this multiple of the usual latency.
 constexpr int64_t overdue_multiple = 5;
-constexpr int64_t least_overdue_ms = 60;
-/// In a slow store the row is read at once: a write takes effect long before its answer,
-/// and that of a read comes sooner (on the users' store after 4 ms, not 9, times 99).
-constexpr Millis first_read_when_slow { 15 };
-/// The longest that an answer is waited for.
-constexpr Millis longest_wait { 2500 };
+constexpr int64_t min_overdue_ms = 60;
+/// In a slow store the row is read back at once: a write takes effect long before its reply
+/// arrives, and a read is answered sooner (4 ms instead of 9 ms in a normal store, each
+/// multiplied by 99 in a slow one).
+constexpr Millis slow_first_probe_delay { 15 };
+/// Time-out of a write.
+constexpr Millis write_timeout { 2500 };
 constexpr Millis probe_timeout { 1500 };
-/// The row is read again at this interval, with so many reads open at most.
+/// Interval at which the row is read again, and maximum number of open reads.
 constexpr Millis probe_interval { 400 };
-constexpr int most_open_probes = 4;
-/// A read that was answered within this time was quick.
-constexpr Millis quick_read { 100 };
+constexpr int max_open_probes = 4;
+/// A read that is answered within this time is fast.
+constexpr Millis fast_read { 100 };
 
 } // namespace
 
@@ -38,13 +39,13 @@
     auto call = std::make_shared<Call>();
     call->done = std::move(done);
     call->first_put = write.puts.front();
-    call->asked = m_loop.now();
-    m_store.write(write, longest_wait,
+    call->sent_at = m_loop.now();
+    m_store.write(write, write_timeout,
                   m_lifetime.wrap(
                       [this, call](const StoreResult& result) { answered(call, result); }));
-    const Millis overdue(std::max(overdue_multiple * m_latency_ms, least_overdue_ms));
+    const Millis overdue(std::max(overdue_multiple * m_latency_ms, min_overdue_ms));
     const bool early = slow() && m_mechanisms.uses(Mechanism::early_reads);
-    probe_later(call, early ? first_read_when_slow : overdue);
+    probe_later(call, early ? slow_first_probe_delay : overdue);
 }
 
 void StoreWriter::probe_later(const CallPtr& call, Millis delay)
@@ -56,9 +57,10 @@
 {
     if (call->ended)
         return;
-    // A read may be lost with an outage that is over: others follow while it is open.
+    // A read may have been lost in an outage that is over, so others follow while it is
+    // open.
     probe_later(call, probe_interval);
-    if (call->probes_open >= most_open_probes)
+    if (call->probes_open >= max_open_probes)
         return;
     ++call->probes_open;
     const RowKey& row = call->first_put.id;
@@ -70,27 +72,27 @@
     range.limit = 1;
     m_store.read(
         range, probe_timeout,
-        m_lifetime.wrap([this, call, asked = m_loop.now()](const StoreResult& result) {
+        m_lifetime.wrap([this, call, sent_at = m_loop.now()](const StoreResult& result) {
             --call->probes_open;
-            probed(call, result, asked);
+            probed(call, result, sent_at);
         }));
 }
 
-void StoreWriter::probed(const CallPtr& call, const StoreResult& result, Millis asked)
+void StoreWriter::probed(const CallPtr& call, const StoreResult& result, Millis sent_at)
 {
     if (call->ended || result.status != StoreStatus::ok)
         return;
-    const Millis took = m_loop.now() - asked;
-    const bool slow_read = took > quick_read;
+    const Millis elapsed = m_loop.now() - sent_at;
+    const bool slow_read = elapsed > fast_read;
     if (slow_read)
-        m_latency_ms = std::max(m_latency_ms, took.count());
+        m_latency_ms = std::max(m_latency_ms, elapsed.count());
     for (const StoredRow& row : result.rows) {
         if (row.id == call->first_put.id && row.value == call->first_put.value) {
-            StoreResult seen;
-            seen.status = StoreStatus::unknown;
-            seen.rows = { row };
-            seen.clock_ms = result.clock_ms;
-            finish(call, seen);
+            StoreResult found;
+            found.status = StoreStatus::unknown;
+            found.rows = { row };
+            found.clock_ms = result.clock_ms;
+            finish(call, found);
             return;
         }
     }
@@ -106,7 +108,7 @@
     if (call->ended)
         return;
     if (result.status == StoreStatus::ok || result.status == StoreStatus::conflict)
-        m_latency_ms = (m_latency_ms + (m_loop.now() - call->asked).count()) / 2;
+        m_latency_ms = (m_latency_ms + (m_loop.now() - call->sent_at).count()) / 2;
     finish(call, result);
 }
 
--- a/src/jobs.lib/store_writer.h
+++ b/src/jobs.lib/store_writer.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Writes to the store whose answers may be lost or late.
+/// Writes to a store whose replies may be lost or late.
 
 #pragma once
 
@@ -16,44 +16,45 @@
 
 namespace pathport::jobs {
 
-/// Sends one transaction at a time. When no answer comes for several times the usual
-/// latency, it reads the first row that the transaction puts. If that is there, the caller
-/// is told; if the read was quick and it isn't, the answer counts as lost; if the read is
-/// slow too, the store is slow, and the row is read again until the answer comes.
+/// Sends one transaction at a time. If no reply arrives within several times the usual
+/// latency, it reads the first row that the transaction puts. If that row is there, the
+/// result is returned to the caller; if it is missing and the read was fast, the reply is
+/// considered lost; if the read is slow too, the store is slow, and the row is read
+/// repeatedly until a reply arrives.
 ///
-/// A row that is there proves nothing of the transaction's other rows: an earlier write of
-/// the same row, done late, or another node may have put it. So such a result is `unknown`
-/// with that row, and only a caller whose first row is of this transaction alone may
-/// conclude that the whole of it took effect.
+/// The presence of the first row proves nothing about the transaction's other rows: an
+/// earlier write of the same row that was executed late, or another node, may have put it.
+/// Such a result is therefore `unknown` with that row, and only a caller whose first row is
+/// unique to this transaction may conclude that the whole transaction took effect.
 class StoreWriter {
 public:
     StoreWriter(EventLoop& loop, JobStore& store, Mechanisms mechanisms = {});
 
-    /// Runs `write`. `done` is called exactly once, later. `unknown` means that the write
-    /// may have been done or may still be done; its `rows` hold the first put as it was
-    /// read from the store, or nothing. The caller sends again what it doesn't know to be
-    /// there; the checks let it take effect once at most.
+    /// Runs `write`. `done` is called exactly once, after this call returns. `unknown`
+    /// means that the write may have been executed or may still be; `rows` then holds the
+    /// first put as read from the store, or nothing. The caller resends what it does not
+    /// know to be stored; the checks ensure that it takes effect at most once.
     void send(const StoreWrite& write, StoreReply done);
 
-    /// Returns whether the store answers much slower than it should.
+    /// Returns whether the store is much slower than normal.
     bool slow() const { return m_latency_ms > slow_latency_ms; }
 
 private:
     struct Call {
         StoreReply done;
         RowPut first_put;
-        Millis asked;
-        int probes_open = 0; ///< Reads of the row without an answer.
+        Millis sent_at;
+        int probes_open = 0; ///< Reads of the row without a reply.
         bool ended = false;
     };
     using CallPtr = std::shared_ptr<Call>;
 
-    /// Answers slower than this, on average, make a store slow.
+    /// A store with a higher smoothed latency counts as slow.
     static constexpr int64_t slow_latency_ms = 60;
 
     void probe(const CallPtr& call);
     void probe_later(const CallPtr& call, Millis delay);
-    void probed(const CallPtr& call, const StoreResult& result, Millis asked);
+    void probed(const CallPtr& call, const StoreResult& result, Millis sent_at);
     void answered(const CallPtr& call, const StoreResult& result);
     void finish(const CallPtr& call, const StoreResult& result);
 
--- a/src/jobs.lib/table_reader.cpp
+++ b/src/jobs.lib/table_reader.cpp
@@ -10,24 +10,24 @@
 
 namespace {
 
-/// Parts that are read at a time, and rows on a page, at most.
-constexpr int64_t most_open_parts = 8;
-constexpr int64_t most_rows = 500;
-/// What is read at a time fills the link for a tenth of a second at most: a page that takes
-/// longer than `reread_interval` is sent again and again, and a new leader's own writes,
-/// without which it is taken for dead, wait behind it.
+/// Maximum number of partitions read at a time, and of rows on a page.
+constexpr int64_t max_open_partitions = 8;
+constexpr int64_t max_rows = 500;
+/// The reads in flight use at most a tenth of a second of the link's bandwidth: a page that
+/// takes longer than `reread_interval` would be requested again and again, and would delay
+/// a new leader's own writes, without which the leader is considered dead.
 constexpr int64_t link_fraction = 10;
-/// Bytes of a part of the jobs' table and of a progress row, about, at the users' largest
-/// load.
-constexpr int64_t bytes_of_part = 16000;
-constexpr int64_t bytes_of_row = 600;
-constexpr int64_t least_rows = 40;
+/// Approximate size of a partition of the jobs table and of a progress row, in bytes, at
+/// the largest expected load.
+constexpr int64_t partition_bytes = 16000;
+constexpr int64_t row_bytes = 600;
+constexpr int64_t min_rows = 40;
 constexpr Millis read_timeout { 1500 };
-/// A read is sent again after this time, with so many open at most: about thirty times what
-/// the users' store takes for one.
+/// Delay after which a read is sent again, about thirty times the usual duration of a read,
+/// and maximum number of open reads per page.
 constexpr Millis reread_interval { 300 };
-constexpr int most_open_reads = 6;
-/// Sorts below every character that keys hold.
+constexpr int max_open_reads = 6;
+/// Sorts before every character that occurs in keys.
 const char* const next_key_suffix = "!";
 
 } // namespace
@@ -35,8 +35,8 @@
 TableReader::TableReader(EventLoop& loop, JobStore& store)
     : m_loop(loop)
     , m_store(store)
-    , m_max_open(most_open_parts)
-    , m_page_rows(most_rows)
+    , m_max_open(max_open_partitions)
+    , m_page_rows(max_rows)
 {
 }
 
@@ -44,36 +44,36 @@
 {
     if (bytes <= 0)
         return;
-    const int64_t at_once = bytes / link_fraction;
-    m_max_open = std::clamp<int64_t>(at_once / bytes_of_part, 1, most_open_parts);
-    m_page_rows = std::clamp(at_once / bytes_of_row, least_rows, most_rows);
+    const int64_t burst_bytes = bytes / link_fraction;
+    m_max_open = std::clamp<int64_t>(burst_bytes / partition_bytes, 1, max_open_partitions);
+    m_page_rows = std::clamp(burst_bytes / row_bytes, min_rows, max_rows);
 }
 
-void TableReader::read(const std::string& table, const std::vector<std::string>& parts,
-                       std::function<void(std::vector<StoredRow>)> seen,
+void TableReader::read(const std::string& table, const std::vector<std::string>& partitions,
+                       std::function<void(std::vector<StoredRow>)> on_rows,
                        std::function<void(int64_t)> done)
 {
     m_table = table;
-    m_waiting.assign(parts.begin(), parts.end());
+    m_waiting.assign(partitions.begin(), partitions.end());
     m_version = std::numeric_limits<int64_t>::max();
-    m_on_rows = std::move(seen);
+    m_on_rows = std::move(on_rows);
     m_done = std::move(done);
     while (!m_waiting.empty() && m_open < m_max_open)
-        next_part();
+        next_partition();
 }
 
-void TableReader::next_part()
+void TableReader::next_partition()
 {
-    const std::string part = m_waiting.front();
+    const std::string partition = m_waiting.front();
     m_waiting.pop_front();
     ++m_open;
-    read_page(part, "");
+    read_page(partition, "");
 }
 
-void TableReader::read_page(const std::string& part, const std::string& from)
+void TableReader::read_page(const std::string& partition, const std::string& from)
 {
     auto page = std::make_shared<Page>();
-    page->part = part;
+    page->partition = partition;
     page->from = from;
     send_read(page);
 }
@@ -83,12 +83,12 @@
     if (page->answered)
         return;
     m_loop.after(reread_interval, m_lifetime.wrap([this, page] { send_read(page); }));
-    if (page->reads_open >= most_open_reads)
+    if (page->reads_open >= max_open_reads)
         return;
     ++page->reads_open;
     StoreRange range;
     range.table = m_table;
-    range.partition = page->part;
+    range.partition = page->partition;
     range.from = page->from;
     range.limit = static_cast<int>(m_page_rows);
     m_store.read(range, read_timeout, m_lifetime.wrap([this, page](StoreResult result) {
@@ -109,12 +109,12 @@
     if (alive.expired())
         return;
     if (result.more && !last.empty()) {
-        read_page(page->part, last + next_key_suffix);
+        read_page(page->partition, last + next_key_suffix);
         return;
     }
     --m_open;
     if (!m_waiting.empty())
-        next_part();
+        next_partition();
     else if (m_open == 0)
         m_done(m_version);
 }
