--- a/src/callers.lib/caller.cpp
+++ b/src/callers.lib/caller.cpp
@@ -21,13 +21,14 @@
 {
     if (!workspaces)
         return { CallerVerdict::admitted, Caller() };
-    const Workspace* holder = key.text() ? workspaces->find_by_key(*key.text()) : nullptr;
-    if (holder != nullptr)
-        return { CallerVerdict::admitted, Caller::of(holder->name) };
+    const Workspace* key_owner
+        = key.text() ? workspaces->find_by_key(*key.text()) : nullptr;
+    if (key_owner != nullptr)
+        return { CallerVerdict::admitted, Caller::of(key_owner->name) };
     if (queue_is_public)
         return { CallerVerdict::admitted, Caller::anonymous() };
-    // Without a key no configuration would admit the call, but for one that has made the
-    // queue public.
+    // A call without a key is undecided too while the configuration is not fresh: a newer
+    // one may have made the queue public.
     return { is_fresh ? CallerVerdict::denied : CallerVerdict::undecided, Caller() };
 }
 
--- a/src/callers.lib/callers_test.cpp
+++ b/src/callers.lib/callers_test.cpp
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Whose a key is, and what becomes of keys and workspaces that can't be right.
+/// Lookup of callers by key, and handling of invalid keys and workspaces.
 
 #define BOOST_TEST_MODULE callers
 #include <boost/test/unit_test.hpp>
@@ -23,7 +23,7 @@
     return workspace;
 }
 
-/// Two workspaces: a has the keys a1 and a2, b has b1.
+/// Returns two workspaces: a with the keys a1 and a2, b with b1.
 Workspaces two_workspaces(uint64_t seed = 7)
 {
     Workspaces workspaces { KeyHasher(seed) };
@@ -43,14 +43,14 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(each_key_is_that_of_its_workspace)
+BOOST_AUTO_TEST_CASE(key_identifies_its_workspace)
 {
     BOOST_TEST((check({ "a1" }).caller == Caller::of("a")));
     BOOST_TEST((check({ "a2" }).caller == Caller::of("a")));
     BOOST_TEST((check({ "b1" }).caller == Caller::of("b")));
 }
 
-BOOST_AUTO_TEST_CASE(a_call_without_a_key_of_anybody_is_denied)
+BOOST_AUTO_TEST_CASE(call_without_a_valid_key_is_denied)
 {
     const std::vector<std::vector<std::string>> headers {
         {},       { "" },
@@ -63,7 +63,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(the_longest_key_counts)
+BOOST_AUTO_TEST_CASE(key_of_maximum_length_is_valid)
 {
     const std::string key(max_key_bytes, 'k');
     Workspaces workspaces { KeyHasher(1) };
@@ -73,14 +73,14 @@
     BOOST_TEST((found.verdict == CallerVerdict::admitted));
 }
 
-BOOST_AUTO_TEST_CASE(a_public_queue_admits_anybody_and_knows_who_has_a_key)
+BOOST_AUTO_TEST_CASE(public_queue_admits_any_caller_and_identifies_keys)
 {
     BOOST_TEST((check({}, true).caller == Caller::anonymous()));
     BOOST_TEST((check({ "c1" }, true).caller == Caller::anonymous()));
     BOOST_TEST((check({ "b1" }, true).caller == Caller::of("b")));
 }
 
-BOOST_AUTO_TEST_CASE(a_cell_without_workspaces_admits_anybody_to_everything)
+BOOST_AUTO_TEST_CASE(cell_without_workspaces_admits_all_callers_to_all_jobs)
 {
     const auto found = check_caller(std::nullopt, false, PresentedKey({ "x" }), true);
     BOOST_TEST((found.verdict == CallerVerdict::admitted));
@@ -88,7 +88,7 @@
     BOOST_TEST(!found.caller.workspaces_enabled());
 }
 
-BOOST_AUTO_TEST_CASE(callers_see_the_jobs_of_their_workspace_and_nobodys)
+BOOST_AUTO_TEST_CASE(callers_see_jobs_of_their_workspace_and_of_none)
 {
     BOOST_TEST(Caller::of("a").may_see("a"));
     BOOST_TEST(Caller::of("a").may_see(""));
@@ -97,15 +97,15 @@
     BOOST_TEST(!Caller::anonymous().may_see("a"));
 }
 
-BOOST_AUTO_TEST_CASE(a_key_of_two_workspaces_stays_with_the_first)
+BOOST_AUTO_TEST_CASE(key_of_two_workspaces_stays_with_the_first)
 {
     Workspaces workspaces = two_workspaces();
     BOOST_TEST((workspaces.add_key("a1") == WorkspaceFault::shared_key));
-    BOOST_TEST(!workspaces.add_key("b1")); // Twice in one workspace.
+    BOOST_TEST(!workspaces.add_key("b1")); // Repeated in the same workspace.
     BOOST_TEST(workspaces.find_by_key("a1")->name == "a");
 }
 
-BOOST_AUTO_TEST_CASE(workspaces_without_a_name_of_their_own_are_left_out)
+BOOST_AUTO_TEST_CASE(workspaces_without_a_unique_name_are_left_out)
 {
     Workspaces workspaces = two_workspaces();
     BOOST_TEST((workspaces.add(named("")) == WorkspaceFault::no_name));
@@ -116,7 +116,7 @@
                 == WorkspaceFault::bad_key));
 }
 
-BOOST_AUTO_TEST_CASE(a_digest_depends_on_key_and_seed_and_travels_as_text)
+BOOST_AUTO_TEST_CASE(digest_depends_on_key_and_seed_and_round_trips_as_text)
 {
     const KeyDigest digest = KeyHasher(7).digest("a1");
     BOOST_TEST((digest == KeyHasher(7).digest("a1")));
--- a/src/callers.lib/job_budget_test.cpp
+++ b/src/callers.lib/job_budget_test.cpp
@@ -2,7 +2,9 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// One workspace sends many times its usual for some seconds, the others as ever.
+/// Budget of a workspace under its usual load and under bursts of many times that load.
+/// Guards against a workspace that takes the others' share by sending many times its usual
+/// load.
 
 #define BOOST_TEST_MODULE job_budget
 #include <boost/test/unit_test.hpp>
@@ -13,7 +15,7 @@
 
 namespace {
 
-/// Sends `per_s` jobs a second from `from_ms` on for `span_ms`; returns how many were
+/// Sends `per_s` jobs a second from `from_ms` on for `span_ms`. Returns the number of jobs
 /// within the budget.
 int send(JobBudget& budget, double weight, int64_t per_s, int64_t from_ms, int64_t span_ms)
 {
@@ -31,7 +33,7 @@
     BOOST_TEST(send(budget, 20, 10, 0, 30000) == 300);
 }
 
-BOOST_AUTO_TEST_CASE(of_many_times_the_usual_the_weight_a_second_is_within)
+BOOST_AUTO_TEST_CASE(under_overload_weight_jobs_a_second_are_within_the_budget)
 {
     JobBudget budget;
     send(budget, 20, 10, 0, 10000);
@@ -41,7 +43,7 @@
     BOOST_TEST(send(budget, 20, 10, 18000, 10000) == 100);
 }
 
-BOOST_AUTO_TEST_CASE(a_short_burst_of_one_that_has_sent_little_is_within)
+BOOST_AUTO_TEST_CASE(short_burst_after_low_load_is_within_the_budget)
 {
     JobBudget budget;
     BOOST_TEST(budget.try_consume(5, 0));
@@ -52,7 +54,7 @@
     BOOST_TEST(rare.try_consume(0.1, 10100));
 }
 
-BOOST_AUTO_TEST_CASE(jobs_that_are_told_of_late_earn_nothing)
+BOOST_AUTO_TEST_CASE(jobs_reported_out_of_order_add_no_tokens)
 {
     JobBudget budget;
     BOOST_TEST(send(budget, 1, 10, 10000, 1000) == 2);
--- a/src/callers.lib/usage_ledger.cpp
+++ b/src/callers.lib/usage_ledger.cpp
@@ -69,8 +69,8 @@
 
 void UsageLedger::add_in_doubt(WorkspaceNumber workspace, const Resources& need)
 {
-    Resources& doubtful = m_entries[workspace].in_doubt;
-    doubtful = doubtful + need;
+    Resources& in_doubt_sum = m_entries[workspace].in_doubt;
+    in_doubt_sum = in_doubt_sum + need;
 }
 
 Resources UsageLedger::running(WorkspaceNumber workspace) const
@@ -93,10 +93,10 @@
 }
 
 int UsageLedger::tasks_allowed(WorkspaceNumber workspace, const Resources& need,
-                               int most) const
+                               int max_count) const
 {
     const Entry& entry = m_entries[workspace];
-    return tasks_that_fit(need, available(entry), entry.bound, most);
+    return tasks_that_fit(need, available(entry), entry.bound, max_count);
 }
 
 void UsageLedger::clear_reservations()
@@ -107,8 +107,8 @@
 
 void UsageLedger::reserve(WorkspaceNumber workspace, const Resources& need)
 {
-    Resources& aside = m_entries[workspace].reserved;
-    aside = aside + need;
+    Resources& reserved_sum = m_entries[workspace].reserved;
+    reserved_sum = reserved_sum + need;
 }
 
 } // namespace pathport::callers
--- a/src/callers.lib/workspace.cpp
+++ b/src/callers.lib/workspace.cpp
@@ -9,21 +9,24 @@
 
 namespace {
 
-int tasks_of_kind(int64_t need, int64_t free, int64_t bound, int most)
+int tasks_that_fit_one(int64_t need, int64_t free, int64_t bound, int max_count)
 {
     if (bound <= 0 || need <= 0)
-        return most;
-    return static_cast<int>(std::clamp<int64_t>(free / need, 0, most));
+        return max_count;
+    return static_cast<int>(std::clamp<int64_t>(free / need, 0, max_count));
 }
 
 } // namespace
 
 int tasks_that_fit(const Resources& need, const Resources& free, const Resources& bound,
-                   int most)
+                   int max_count)
 {
-    most = tasks_of_kind(need.cpu_millis, free.cpu_millis, bound.cpu_millis, most);
-    most = tasks_of_kind(need.memory_mb, free.memory_mb, bound.memory_mb, most);
-    return tasks_of_kind(need.accelerators, free.accelerators, bound.accelerators, most);
+    max_count
+        = tasks_that_fit_one(need.cpu_millis, free.cpu_millis, bound.cpu_millis, max_count);
+    max_count
+        = tasks_that_fit_one(need.memory_mb, free.memory_mb, bound.memory_mb, max_count);
+    return tasks_that_fit_one(need.accelerators, free.accelerators, bound.accelerators,
+                              max_count);
 }
 
 const char* to_string(WorkspaceFault fault)
@@ -66,9 +69,9 @@
 
 std::optional<WorkspaceFault> Workspaces::add_digest(const KeyDigest& digest)
 {
-    const size_t holder = m_all.size() - 1;
-    const auto [entry, added] = m_key_owners.try_emplace(digest, holder);
-    if (!added && entry->second != holder)
+    const size_t key_owner = m_all.size() - 1;
+    const auto [entry, added] = m_key_owners.try_emplace(digest, key_owner);
+    if (!added && entry->second != key_owner)
         return WorkspaceFault::shared_key;
     return std::nullopt;
 }
--- a/src/include/pathport/async_http.h
+++ b/src/include/pathport/async_http.h
@@ -2,8 +2,9 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// HTTP/1.1 on an event loop, over Boost.Beast, which stays hidden. It replaces cpprestsdk
-/// where a node has a quarter of a core; docs/design/platform.md has the figures.
+/// Asynchronous HTTP/1.1 server and client on an event loop. Boost.Beast is hidden in the
+/// implementation. Used instead of cpprestsdk where a node has a quarter of a core;
+/// docs/design/platform.md has the figures.
 
 #pragma once
 
@@ -24,19 +25,19 @@
 /// Header names with their values.
 using HeaderList = std::vector<std::pair<std::string, std::string>>;
 
-/// A request that a server has read whole.
+/// A request that a server has received completely.
 struct ServerRequest {
     std::string method;
-    std::string target; ///< Path and query as sent.
+    std::string target; ///< Path and query, as sent.
     std::string host; ///< The Host header.
     std::string body;
-    /// Of the headers that the server was told to keep, those that the request has.
+    /// The headers of the request whose names were passed to capture_header().
     HeaderList headers;
-    Millis received; ///< When its last byte was read.
+    Millis received; ///< When the last byte was read.
     Millis time_limit; ///< From the header `X-Deadline-Ms`; 0 when it is absent.
 };
 
-/// The answer to one request.
+/// The response to one request.
 struct ServerResponse {
     int status = 200;
     std::string body;
@@ -44,7 +45,7 @@
     HeaderList headers;
 };
 
-/// Bytes that calls took on the link, with their headers.
+/// Bytes sent and received, including headers.
 struct HttpTraffic {
     int64_t sent = 0;
     int64_t received = 0;
@@ -54,15 +55,17 @@
         return sent == other.sent && received == other.received;
     }
 };
-/// The traffic by path, without queries. There are as many as a program names.
+/// Traffic by path, without the query. The number of entries is the number of different
+/// paths that the program uses.
 using HttpTrafficByPath = std::map<std::string, HttpTraffic>;
 
-/// Sends the answer; call it exactly once, on the loop's thread.
+/// Sends the response; must be called exactly once, on the loop's thread.
 using ServerReply = std::function<void(ServerResponse)>;
 /// Handles one request; must not block.
 using ServerHandler = std::function<void(ServerRequest, ServerReply)>;
 
-/// Limits of a server. Requests over them are refused with 413, 431 or closed.
+/// Limits of a server. Requests over a limit get status 413 or 431, or their connection is
+/// closed.
 struct ServerLimits {
     size_t max_header_bytes = 16384;
     size_t max_body_bytes = 1048576;
@@ -70,7 +73,7 @@
     size_t max_connections = 2000;
 };
 
-/// A listener on one address.
+/// An HTTP server listening on one address.
 class AsyncHttpServer {
 public:
     AsyncHttpServer(IoLoop& loop, const Address& address, ServerHandler handler,
@@ -81,17 +84,18 @@
 
     /// Starts listening; returns false when the address can't be used.
     bool start();
-    /// From now on requests hold all headers of this name.
+    /// Adds all headers of this name to later requests.
     void capture_header(const std::string& name);
-    /// From now on each connection is closed after its next answer.
+    /// Closes each connection after its next response.
     void close_after_responses();
-    /// Closes the listener; open connections end after their present answer.
+    /// Closes the listener and idle connections; others are closed after the response to
+    /// their present request.
     void drain();
-    /// Returns the number of requests whose answer has not been sent.
+    /// Returns the number of requests whose response has not been sent.
     size_t requests_in_progress() const;
-    /// Changes the limits of requests that come later.
+    /// Sets the limits for later requests.
     void set_limits(const ServerLimits& limits);
-    /// Returns what all requests so far took.
+    /// Returns the traffic of all requests so far.
     const HttpTraffic& traffic() const;
 
 private:
@@ -101,13 +105,13 @@
 
 /// How a call ended.
 enum class CallEnd {
-    answered, ///< The status and the body are there.
-    refused, ///< Nothing listens at the address; nothing was sent.
-    unreachable, ///< No connection came about; nothing was sent.
-    unknown, ///< It was sent, at least in part, and no answer came.
+    answered, ///< A response was received; status and body are set.
+    refused, ///< Connection refused; nothing was sent.
+    unreachable, ///< No connection was established; nothing was sent.
+    unknown, ///< Sent at least in part, without a response.
 };
 
-/// One call to a server.
+/// A request to a server.
 struct ClientCall {
     Address server;
     std::string method = "POST";
@@ -115,46 +119,47 @@
     std::string body;
     std::string content_type = "application/json";
     HeaderList headers;
-    /// Goes in place of `body` over a connection that was open when the call of this number
-    /// (CallOutcome) was sent: what only the process may have that answered it. Another one
-    /// in its place has none of its connections.
+    /// Replaces `body` if the request goes over a connection that was open before the call
+    /// with the sequence number `opened_before_call` was sent. Use it for data meant only
+    /// for the server process that answered that call: a process started in its place has
+    /// none of its connections.
     std::string reused_connection_body;
-    int64_t opened_before_call = 0; ///< Zero for none.
+    int64_t opened_before_call = 0; ///< CallOutcome::sequence; 0: none.
     Millis timeout { 1000 };
-    /// Of `timeout`: the server may hold its answer back for so long.
+    /// How long the server may delay its response (long poll); a part of `timeout`.
     Millis max_response_delay;
-    /// While bytes of the answer keep coming, `timeout` is for each silence between them
-    /// (ClientLimits::longest_answer holds for the whole). Not for calls whose effect must
-    /// not come late.
+    /// While the response is being received, `timeout` limits each gap between bytes, and
+    /// ClientLimits::max_response_time the whole response. Not for calls that must not take
+    /// effect late.
     bool extends_while_receiving = false;
 };
 
-/// What became of a call.
+/// The outcome of a call.
 struct CallOutcome {
     CallEnd end = CallEnd::unknown;
     int status = 0;
     std::string body;
-    /// Of an answered call: its number among all calls that this client has sent and the
-    /// connections that it has opened, from 1 on.
+    /// Of an answered call: its position, from 1 on, in the sequence of calls sent and
+    /// connections opened by this client.
     int64_t sequence = 0;
 };
 
 /// Limits of a client.
 struct ClientLimits {
-    /// Connections to one server, at most. Further calls wait for one, in the order in
-    /// which they came; one that gets none in its time ends `unreachable`.
+    /// Maximum number of connections to one server. Further calls are queued in order of
+    /// arrival; a call that gets no connection within its time-out ends as `unreachable`.
     size_t max_connections = 256;
-    /// A kept connection that nothing has used for so long is closed, since the server may
-    /// be about to close it.
+    /// An idle connection is closed after this time, since the server may be about to close
+    /// it.
     Millis max_idle { 12000 };
-    /// An answer that extends its call's time has to be there so long after it was due: the
-    /// largest one that is read takes 7 s on a link of 10 Mbit/s.
+    /// Time limit, from the time at which a response was due, for calls with
+    /// `extends_while_receiving`. The largest accepted response takes 7 s at 10 Mbit/s.
     Millis max_response_time { 10000 };
 };
 
-/// A client with kept connections to any number of servers. Once a call on a kept
-/// connection has got no byte in its time, others of that server which have not answered
-/// since its answer was due are closed as well.
+/// An HTTP client with a connection pool per server. When a call on a reused connection
+/// times out without a byte of a response, idle connections to the same server that have
+/// not carried a response since that one was due are closed as well.
 class AsyncHttpClient {
 public:
     explicit AsyncHttpClient(IoLoop& loop, ClientLimits limits = {});
@@ -162,16 +167,17 @@
     AsyncHttpClient(const AsyncHttpClient&) = delete;
     AsyncHttpClient& operator=(const AsyncHttpClient&) = delete;
 
-    /// Sends `call`; `done` is called exactly once, later, on the loop's thread.
+    /// Sends `call`. `done` is called exactly once, after this function has returned, on
+    /// the loop's thread.
     void send(ClientCall call, std::function<void(CallOutcome)> done);
-    /// Closes kept connections to `server`.
+    /// Closes the idle connections to `server`.
     void close_idle_connections(const Address& server);
-    /// Returns the number of connections, kept ones and those that carry a call.
+    /// Returns the number of connections, idle ones and those in use.
     size_t open_connections() const;
-    /// Returns what all calls so far took.
+    /// Returns the traffic of all calls so far.
     const HttpTrafficByPath& traffic() const;
-    /// Returns whether an answer at `path` is under way: a call that extends its time is
-    /// open there, and bytes for it came a moment ago.
+    /// Returns whether a response from `path` is being received: a call with
+    /// `extends_while_receiving` is open, and got bytes within the last 0.5 s.
     bool is_receiving(const std::string& path) const;
 
 private:
--- a/src/include/pathport/callers/caller.h
+++ b/src/include/pathport/callers/caller.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// On whose behalf a client calls, and what it may see.
+/// The identity of a caller, and the jobs that it may access.
 
 #pragma once
 
@@ -13,21 +13,21 @@
 
 namespace pathport::callers {
 
-/// Who calls.
+/// The identity of a caller.
 class Caller {
 public:
-    /// A cell without workspaces does not tell its callers apart: each sees every job.
+    /// A caller in a cell without workspaces, where every caller may see every job.
     Caller() = default;
-    /// A caller of a public queue that brings no key of a workspace.
+    /// A caller of a public queue without the key of any workspace.
     static Caller anonymous() { return Caller(std::string()); }
     static Caller of(std::string workspace) { return Caller(std::move(workspace)); }
 
-    /// Returns whether callers are told apart.
+    /// Returns whether the cell has workspaces.
     bool workspaces_enabled() const { return m_workspace.has_value(); }
     /// Returns the workspace, or "" when the caller has none.
     const std::string& workspace() const;
-    /// Returns whether the caller may learn of a job of that workspace. A job without one
-    /// was handed in by an anonymous caller, or before there were workspaces.
+    /// Returns whether the caller may access a job of workspace `owner`. A job without one
+    /// was submitted by an anonymous caller, or before there were workspaces.
     bool may_see(const std::string& owner) const;
 
     bool operator==(const Caller& other) const { return m_workspace == other.m_workspace; }
@@ -41,21 +41,21 @@
     std::optional<std::string> m_workspace;
 };
 
-/// What a look at a call's key showed.
+/// Result of checking a call's key.
 enum class CallerVerdict {
     admitted,
-    denied, ///< Nobody has the key.
-    undecided, ///< Nobody is known to have it, and the configuration may have changed.
+    denied, ///< No workspace has the key.
+    undecided, ///< No known workspace has it, but the configuration may be outdated.
 };
 
 struct CallerCheck {
     CallerVerdict verdict = CallerVerdict::undecided;
-    Caller caller; ///< If admitted.
+    Caller caller; ///< Valid if admitted.
 };
 
-/// Finds out who calls. `workspaces` are those of the configuration in force, none if it
-/// doesn't tell callers apart; `is_fresh` says whether that may be taken for the newest
-/// one.
+/// Identifies the caller by its key. `workspaces` are those of the configuration in force,
+/// nothing if it has none; `is_fresh` tells whether that configuration may be taken for the
+/// newest one.
 CallerCheck check_caller(const std::optional<Workspaces>& workspaces, bool queue_is_public,
                          const PresentedKey& key, bool is_fresh);
 
--- a/src/include/pathport/callers/caller_key.h
+++ b/src/include/pathport/callers/caller_key.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Callers' keys as a node holds them: a keyed hash, never the key itself.
+/// Callers' keys. A node holds only a keyed hash of each, never the key itself.
 
 #pragma once
 
@@ -15,17 +15,17 @@
 
 namespace pathport::callers {
 
-/// A longer key is none.
+/// A longer key is invalid.
 constexpr size_t max_key_bytes = 1024;
 
-/// The keyed hash of a key. Two keys share one with a chance of 2^-128.
+/// The keyed hash of a key. Two keys collide with a probability of 2^-128.
 struct KeyDigest {
     uint64_t high = 0;
     uint64_t low = 0;
 
     /// Returns 32 hexadecimal digits.
     std::string to_string() const;
-    /// Returns the digest that `text` stands for, or nothing when it is malformed.
+    /// Parses the output of to_string(); returns nothing when it is malformed.
     static std::optional<KeyDigest> parse(std::string_view text);
     bool operator==(const KeyDigest& other) const
     {
@@ -34,7 +34,7 @@
     bool operator!=(const KeyDigest& other) const { return !(*this == other); }
 };
 
-/// For hash tables. The digest is spread evenly already.
+/// Hash function for hash tables; the digest is distributed evenly already.
 struct KeyDigestHash {
     size_t operator()(const KeyDigest& digest) const
     {
@@ -42,8 +42,8 @@
     }
 };
 
-/// Makes digests. The seed is drawn anew for each configuration that is read and goes with
-/// the digests to other nodes.
+/// Computes key digests. Each configuration read from the store gets a new random seed,
+/// which is sent to other nodes with the digests.
 class KeyHasher {
 public:
     explicit KeyHasher(uint64_t seed)
@@ -61,16 +61,16 @@
     uint64_t m_seed;
 };
 
-/// The key that a call brings, as its header has it.
+/// The key of a call, from its headers.
 class PresentedKey {
 public:
-    /// The call brings none.
+    /// A call without a key.
     PresentedKey() = default;
-    /// `values` are those of all headers of that name. More than one, an empty one and one
-    /// over max_key_bytes are no key of anybody.
+    /// `values` are the values of all key headers of the call. Several of them, an empty
+    /// one and one over max_key_bytes count as no valid key.
     explicit PresentedKey(const std::vector<std::string>& values);
 
-    /// Returns the key, or nothing when the call brings none that could be anybody's.
+    /// Returns the key, or nothing when the call has no valid one.
     const std::optional<std::string>& text() const { return m_text; }
 
 private:
--- a/src/include/pathport/callers/job_budget.h
+++ b/src/include/pathport/callers/job_budget.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// The jobs that a workspace may count on.
+/// The rate of jobs that is guaranteed to a workspace.
 
 #pragma once
 
@@ -11,19 +11,19 @@
 
 namespace pathport::callers {
 
-/// A token bucket over the times at which jobs came: a workspace may count on `weight` jobs
-/// a second, and on a few seconds' worth at once. What comes beyond it takes the room that
-/// is left over. So one workspace that sends many times its usual does not keep the others
-/// from theirs.
+/// A token bucket over the arrival times of jobs. A workspace is guaranteed `weight` jobs a
+/// second, and bursts of a few seconds' worth. Jobs beyond that get only the capacity that
+/// the others leave, so that a workspace with many times its usual load does not take their
+/// share.
 class JobBudget {
 public:
-    /// Returns whether a job that came at `at_ms` lies within the budget, and takes it off.
-    /// A job that is told of late counts at the time of the latest before it.
+    /// Returns whether a job that arrived at `at_ms` is within the budget, and consumes a
+    /// token if so. A job reported out of order counts as of the latest arrival before it.
     bool try_consume(double weight, int64_t at_ms);
 
 private:
     double m_tokens = 0;
-    std::optional<int64_t> m_updated_at; ///< Of the latest job; nothing before the first.
+    std::optional<int64_t> m_updated_at; ///< Latest arrival; nothing before the first job.
 };
 
 } // namespace pathport::callers
--- a/src/include/pathport/callers/usage_ledger.h
+++ b/src/include/pathport/callers/usage_ledger.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// What each workspace has running, against its bound.
+/// Resources in use by each workspace, and its bound on them.
 
 #pragma once
 
@@ -14,17 +14,17 @@
 
 namespace pathport::callers {
 
-/// Stands for a workspace in the ledger. Numbers are dense and stay.
+/// Index of a workspace in the ledger; dense, and never reassigned.
 using WorkspaceNumber = size_t;
 
-/// Sums of what is charged to the workspaces. A task is charged from the choice of its
-/// worker until its end is listed there or can't come any more.
+/// Sums of the resources charged to each workspace. A task is charged from the choice of
+/// its worker until the worker lists its end, or can no longer do so.
 class UsageLedger {
 public:
-    /// What is charged to this one is of a workspace that isn't known, so it counts against
-    /// the bound of each.
+    /// For tasks whose workspace isn't known. They count against the bound of every
+    /// workspace.
     static constexpr WorkspaceNumber unknown = 0;
-    /// Of jobs without a workspace. It has no bound.
+    /// For jobs without a workspace. It has no bound.
     static constexpr WorkspaceNumber none = 1;
 
     UsageLedger();
@@ -34,29 +34,32 @@
     const std::string& name_of(WorkspaceNumber workspace) const;
     size_t size() const { return m_entries.size(); }
 
-    /// Takes the weights and bounds of a configuration. Workspaces that it lacks have no
-    /// bound, and a weight of 1.
+    /// Sets the weights and bounds of a configuration. Workspaces missing in it get no
+    /// bound and a weight of 1.
     void configure(const Workspaces& workspaces);
     const Resources& bound_of(WorkspaceNumber workspace) const;
     double weight_of(WorkspaceNumber workspace) const;
 
     void charge(WorkspaceNumber workspace, const Resources& need);
     void discharge(WorkspaceNumber workspace, const Resources& need);
-    /// Sets anew what may run without a charge; counts like a charge.
+    /// Clears all usage in doubt: resources of tasks that may be running without having
+    /// been charged. It counts like charged usage.
     void clear_in_doubt();
     void add_in_doubt(WorkspaceNumber workspace, const Resources& need);
 
-    /// Returns what the workspace has running, or may have.
+    /// Returns the resources of all tasks that run, or may run, for the workspace.
     Resources running(WorkspaceNumber workspace) const;
     /// Returns whether the workspace has a bound.
     bool is_bounded(WorkspaceNumber workspace) const;
-    /// Returns how many tasks more may start for the workspace, `most` at most.
-    int tasks_allowed(WorkspaceNumber workspace, const Resources& need, int most) const;
+    /// Returns how many more tasks the bound allows the workspace to start, at most
+    /// `max_count`.
+    int tasks_allowed(WorkspaceNumber workspace, const Resources& need,
+                      int max_count) const;
 
-    /// Begins a look at all that waits: nothing is set aside.
+    /// Drops all reservations, at the start of a pass over the waiting steps.
     void clear_reservations();
-    /// Sets room of the workspace aside for a step that waits for it, from those that are
-    /// looked at after it.
+    /// Reserves resources of the workspace for a waiting step, against the steps that come
+    /// after it in this pass.
     void reserve(WorkspaceNumber workspace, const Resources& need);
 
 private:
@@ -66,7 +69,7 @@
         double weight = 1;
         Resources charged;
         Resources in_doubt;
-        Resources reserved; ///< Set aside in this round.
+        Resources reserved; ///< For waiting steps, in this pass.
     };
 
     Resources available(const Entry& entry) const;
--- a/src/include/pathport/callers/workspace.h
+++ b/src/include/pathport/callers/workspace.h
@@ -2,8 +2,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Workspaces: groups of callers that share keys, a weight and a bound on what their tasks
-/// may take.
+/// Workspaces: groups of callers that share keys, a weight and a bound on the resources of
+/// their tasks.
 
 #pragma once
 
@@ -21,10 +21,9 @@
 /// One workspace.
 struct Workspace {
     std::string name;
-    double weight
-        = 1; ///< Its share when all is full, and the jobs it may count on a second.
+    double weight = 1; ///< Its share under full load, and its guaranteed jobs per second.
     int priority = 0;
-    Resources bound; ///< What its tasks may take in all; 0 of a kind: no bound.
+    Resources bound; ///< Limit for all its tasks together; 0: unlimited.
 
     bool operator==(const Workspace& other) const
     {
@@ -33,26 +32,26 @@
     }
 };
 
-/// Returns how many tasks that need `need` each fit into `free`, where only the kinds that
-/// `bound` limits count; `most` when none of them does.
+/// Returns how many tasks with the requirements `need` fit into `free`, at most
+/// `max_count`. Only the resources that `bound` limits count.
 int tasks_that_fit(const Resources& need, const Resources& free, const Resources& bound,
-                   int most);
+                   int max_count);
 
-/// What is wrong with a workspace of a configuration.
+/// A fault in the configuration of a workspace, and how it is handled.
 enum class WorkspaceFault {
-    unreadable, ///< It is no object; left out.
+    unreadable, ///< Not a JSON object; left out.
     no_name, ///< Left out, with its keys.
-    repeated_name, ///< Left out, with its keys; the first one of the name stays.
-    bad_weight, ///< It counts as 1.
-    bad_bound, ///< That kind counts as unbounded.
-    bad_key, ///< The key is no text, empty or too long; it is nobody's.
-    shared_key, ///< The key stays that of the first workspace that has it.
+    repeated_name, ///< Left out, with its keys; the first one of that name stays.
+    bad_weight, ///< The weight is taken as 1.
+    bad_bound, ///< That resource is not limited.
+    bad_key, ///< The key is not a string, empty or too long; ignored.
+    shared_key, ///< The key stays with the first workspace that has it.
 };
 /// Returns the lower-case name of `fault`.
 const char* to_string(WorkspaceFault fault);
 
-/// The workspaces of one configuration, and whose each key is. It doesn't change once it is
-/// in force.
+/// The workspaces of one configuration and their keys. It doesn't change once the
+/// configuration is in force.
 class Workspaces {
 public:
     explicit Workspaces(KeyHasher hasher)
@@ -62,18 +61,18 @@
 
     /// Adds a workspace; returns a fault when it was left out.
     std::optional<WorkspaceFault> add(const Workspace& workspace);
-    /// Gives a key to the workspace that was added last.
+    /// Adds a key to the workspace that was added last.
     std::optional<WorkspaceFault> add_key(std::string_view key);
-    /// The same for a key whose digest is known.
+    /// Adds a key by its digest.
     std::optional<WorkspaceFault> add_digest(const KeyDigest& digest);
 
     const KeyHasher& hasher() const { return m_hasher; }
     const std::vector<Workspace>& all() const { return m_all; }
-    /// Returns the workspace of that name, or nothing.
+    /// Returns the workspace of that name, or null.
     const Workspace* find(const std::string& name) const;
-    /// Returns the workspace that has the key, or nothing.
+    /// Returns the workspace that has the key, or null.
     const Workspace* find_by_key(std::string_view key) const;
-    /// Returns each key's digest with the place of its workspace in all().
+    /// Returns each key's digest with the index of its workspace in all().
     std::vector<std::pair<KeyDigest, size_t>> digests() const;
 
 private:
--- a/src/include/pathport/event_loop.h
+++ b/src/include/pathport/event_loop.h
@@ -2,8 +2,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// The one thread on which a program of the job path does all its work, as its parts see
-/// it.
+/// Interface of the event loop: the one thread on which a program of the job path does all
+/// its work.
 
 #pragma once
 
@@ -14,20 +14,20 @@
 
 namespace pathport {
 
-/// Runs work later on one thread, so that what runs there needs no locks. Tests replace it
-/// by a loop over a manual clock.
+/// Runs callbacks on a single thread, so that they need no locks. Tests replace it by a
+/// loop with a manual clock.
 class EventLoop : public Clock {
 public:
-    /// Names a timer that has not fired; 0 names none.
+    /// Identifies a pending timer; 0 is no timer.
     using TimerId = uint64_t;
 
-    /// Runs `work` once, after `delay`. Never runs it inside this call.
+    /// Schedules `work` to run once after `delay`; never runs it within this call.
     virtual TimerId after(Millis delay, std::function<void()> work) = 0;
 
-    /// Drops a timer; does nothing when it has fired.
+    /// Cancels a timer; does nothing when it has fired.
     virtual void cancel(TimerId timer) = 0;
 
-    /// Returns a random number; tests seed it.
+    /// Returns a random number; seeded in tests.
     virtual uint64_t random() = 0;
 };
 
--- a/src/include/pathport/io_loop.h
+++ b/src/include/pathport/io_loop.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// The event loop of a real process, over Boost.Asio, which stays hidden.
+/// The event loop of a real process. Boost.Asio is hidden in the implementation.
 
 #pragma once
 
@@ -13,7 +13,7 @@
 
 namespace pathport {
 
-/// An event loop over the sockets and the clock of this machine.
+/// An event loop on the sockets and the clock of this box.
 class IoLoop : public EventLoop {
 public:
     IoLoop();
@@ -26,16 +26,17 @@
     void cancel(TimerId timer) override;
     uint64_t random() override;
 
-    /// Calls `handler` with the number of each SIGTERM, SIGINT and SIGHUP; ignores SIGPIPE.
+    /// Calls `handler` with the signal number on SIGTERM, SIGINT and SIGHUP; ignores
+    /// SIGPIPE.
     void on_signals(std::function<void(int)> handler);
 
     /// Runs until stop() is called.
     void run();
-    /// Ends run() soon.
+    /// Makes run() return after the callback that is running.
     void stop();
 
     class Impl;
-    /// Returns what the HTTP parts need of it.
+    /// Returns the implementation, for the HTTP server and client.
     Impl& impl() { return *m_impl; }
 
 private:
--- a/src/jobs.lib/config_codec.cpp
+++ b/src/jobs.lib/config_codec.cpp
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// The form in which nodes give a configuration to each other.
+/// Encoding of configurations in messages between nodes.
 
 #include <pathport/jobs/job_node.h>
 
@@ -14,8 +14,8 @@
 
 namespace {
 
-/// The seed of the keys' digests, the workspaces, and each digest with the place of its
-/// workspace.
+/// Encodes the seed of the key digests, the workspaces, and each digest with the index of
+/// its workspace.
 Json encode_workspaces(const callers::Workspaces& workspaces)
 {
     Json list = Json::array();
@@ -25,8 +25,8 @@
                          bound.cpu_millis, bound.memory_mb, bound.accelerators });
     }
     Json keys = Json::array();
-    for (const auto& [digest, place] : workspaces.digests())
-        keys.push_back({ digest.to_string(), place });
+    for (const auto& [digest, index] : workspaces.digests())
+        keys.push_back({ digest.to_string(), index });
     return { { "seed", workspaces.hasher().seed() },
              { "list", std::move(list) },
              { "keys", std::move(keys) } };
@@ -37,8 +37,8 @@
     callers::Workspaces workspaces(callers::KeyHasher(json.at("seed").get<uint64_t>()));
     const Json& list = json.at("list");
     const Json& keys = json.at("keys");
-    for (size_t place = 0; place < list.size(); ++place) {
-        const Json& entry = list.at(place);
+    for (size_t index = 0; index < list.size(); ++index) {
+        const Json& entry = list.at(index);
         callers::Workspace workspace;
         workspace.name = entry.at(0).get<std::string>();
         workspace.weight = entry.at(1).get<double>();
@@ -48,7 +48,7 @@
         workspaces.add(workspace);
         for (const Json& key : keys) {
             const auto digest = callers::KeyDigest::parse(key.at(0).get<std::string>());
-            if (digest && key.at(1).get<size_t>() == place)
+            if (digest && key.at(1).get<size_t>() == index)
                 workspaces.add_digest(*digest);
         }
     }
--- a/src/jobs.lib/configuration_test.cpp
+++ b/src/jobs.lib/configuration_test.cpp
@@ -2,18 +2,16 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Whole cells in which the operators change the configuration while a node can't hear of
-/// it.
+/// Simulated cells in which the configuration changes while nodes can't reach the store.
 ///
-/// An incident on users' machines: clients asked for queues that had been added seconds
-/// before, and some nodes, well and in touch, answered that there were none. Each node
-/// heard of changes by one call that the store held back for 2 s; when the connection of
-/// that call had gone silent, or its answer was lost, the node waited for it for 3.5 s and
-/// another 0.4 s. A change is due 2 s after the store has taken it, and 3 s after the
-/// trouble, whichever is later, not after the sum of both. Shown by the first case: of
-/// forty cells with a change 100, 500 or 900 ms after a silence fourteen had a node that
-/// lacked it too long, with one 1,500 ms after it six; and by real processes behind proxies
-/// (run_soak.py).
+/// Guards against a healthy node that denies a queue which was added seconds before. When a
+/// node watches the store by a single 2 s long poll, and the connection goes silent or the
+/// answer is lost, it notices only after a 3.5 s time-out and a 0.4 s pause. A change has
+/// to be in force 2 s after the store has accepted it or 3 s after the end of the fault,
+/// whichever is later, not after the sum of both. With a single long poll the first test
+/// case fails in 14 of 40 cells for changes 100, 500 or 900 ms after the connections went
+/// silent, and in 6 for a change after 1,500 ms. run_soak.py tests the same with real
+/// processes behind proxies.
 
 #define BOOST_TEST_MODULE configuration
 #include <boost/test/unit_test.hpp>
@@ -31,12 +29,12 @@
 constexpr int workers = 4;
 constexpr uint64_t first_seed = 40;
 constexpr uint64_t seeds = 40;
-/// Idle connections of a path that go silent: as many as a client keeps.
-constexpr int most_kept = 24;
-/// Later than any change is due.
-constexpr Millis settle { 9000 };
+/// Idle connections per path that go silent: as many as a client keeps.
+constexpr int max_kept_connections = 24;
+/// Longer than any change may take to be in force.
+constexpr Millis settling_time { 9000 };
 
-/// A cell in calm whose nodes are watched.
+/// A cell in steady state whose nodes' configurations are checked.
 class WatchedCell {
 public:
     explicit WatchedCell(uint64_t seed)
@@ -52,7 +50,7 @@
         return int64_t(cell.world.random_below(uint64_t(bound)));
     }
 
-    /// The operators add a queue.
+    /// Adds a queue to the configuration in the store.
     void add_queue()
     {
         jobs::Configuration changed = cell.store.configuration();
@@ -64,7 +62,7 @@
         cell.configure(changed);
     }
 
-    /// The same after `delay`.
+    /// Adds a queue after `delay`.
     void add_queue_after(Millis delay)
     {
         cell.world.after(delay, [this] { add_queue(); });
@@ -73,15 +71,15 @@
     Cell cell;
 };
 
-/// Plays `course` in a cell of each seed, and returns how many were late and the first line
-/// of each.
-std::vector<std::string> late_cells(const std::function<void(WatchedCell&)>& course)
+/// Runs `scenario` in a cell per seed. Returns the first message of each cell in which a
+/// change was late.
+std::vector<std::string> late_cells(const std::function<void(WatchedCell&)>& scenario)
 {
     std::vector<std::string> late;
     for (uint64_t seed = first_seed; seed < first_seed + seeds; ++seed) {
         WatchedCell watched(seed);
-        course(watched);
-        watched.cell.world.run_for(settle);
+        scenario(watched);
+        watched.cell.world.run_for(settling_time);
         const auto& lines = watched.cell.configuration_violations();
         if (!lines.empty())
             late.push_back("seed " + std::to_string(seed) + ": " + lines.front());
@@ -89,9 +87,10 @@
     return late;
 }
 
-void check_in_time(const std::string& what, const std::function<void(WatchedCell&)>& course)
+void check_in_time(const std::string& what,
+                   const std::function<void(WatchedCell&)>& scenario)
 {
-    const auto late = late_cells(course);
+    const auto late = late_cells(scenario);
     BOOST_TEST(late.empty(),
                what << ": " << late.size() << " of " << seeds << " cells were late"
                     << join_lines(late));
@@ -105,20 +104,20 @@
 {
     for (const int64_t delay : { 100, 500, 900, 1500, 2500 }) {
         check_in_time(std::to_string(delay) + " ms", [delay](WatchedCell& watched) {
-            watched.cell.blackhole_connections(most_kept);
+            watched.cell.blackhole_connections(max_kept_connections);
             watched.add_queue_after(Millis(delay));
         });
     }
 }
 
-BOOST_AUTO_TEST_CASE(change_between_two_silences_is_in_force_in_time)
+BOOST_AUTO_TEST_CASE(change_between_two_connection_losses_is_in_force_in_time)
 {
     check_in_time("two silences", [](WatchedCell& watched) {
-        watched.cell.blackhole_connections(most_kept);
+        watched.cell.blackhole_connections(max_kept_connections);
         watched.cell.world.run_for(Millis(400 + watched.below(2200)));
         watched.add_queue();
         watched.cell.world.run_for(Millis(watched.below(1500)));
-        watched.cell.blackhole_connections(most_kept);
+        watched.cell.blackhole_connections(max_kept_connections);
         watched.add_queue_after(Millis(watched.below(1500)));
     });
 }
@@ -171,7 +170,7 @@
     });
 }
 
-BOOST_AUTO_TEST_CASE(changes_in_series_while_the_history_is_forgotten_are_in_force_in_time)
+BOOST_AUTO_TEST_CASE(series_of_changes_with_history_compaction_is_in_force_in_time)
 {
     check_in_time("series", [](WatchedCell& watched) {
         for (int i = 0; i < 12; ++i) {
--- a/src/jobs.lib/configuration_tracker.cpp
+++ b/src/jobs.lib/configuration_tracker.cpp
@@ -13,36 +13,35 @@
 namespace {
 
 constexpr Millis read_timeout { 2000 };
-/// How long the store holds a watch back at most: what a change and the rest of a silent
-/// watch's time may take together, 1 s for the hold and `late_time`, is less than half of
-/// the 3 s after which a node counts as in touch. It costs a node a read of the store in a
-/// second.
-constexpr Millis longest_hold { 1000 };
-/// A hold that is only to show whether there is something newer.
-constexpr Millis shortest_hold { 50 };
-/// A call that has no answer so long after it was due is late: far longer than a store in
-/// order takes, and as long as a heartbeat waits. Connections go silent without a reset,
-/// and answers are lost, so what is late is not waited for until it times out.
-constexpr Millis late_time { 300 };
-/// Calls that may be open at once: while the store is silent each takes up to 2.5 s, and
-/// another one follows every 0.3 s, so that the first one after the silence comes at once.
-constexpr int most_open = 8;
-/// Pause after a call that the store refused.
-constexpr Millis refused_pause { 400 };
-/// Pause after a call that ended without an answer before it was late, as by a reset.
-constexpr Millis lost_pause { 100 };
-/// A node that has heard from the store within this time knows of all changes that have to
-/// be in force: those have 2 s. It is more than a hold and a usual answer take.
-constexpr Millis fresh_time { 1500 };
-/// When a peer tells of something newer, the node's own watch is about to: both hear of it
-/// within tens of milliseconds.
-constexpr Millis told_wait { 100 };
-/// A fetch from a peer that takes so long does not keep the next one from being sent.
-constexpr Millis late_fetch { 500 };
+/// The longest long poll. A silent watch is noticed after this time and `late_after`, which
+/// together are less than half of the 3 s after which a node counts as in touch. It costs
+/// one store read per second and node.
+constexpr Millis max_poll_time { 1000 };
+/// The long poll of a call that only checks for a newer version.
+constexpr Millis min_poll_time { 50 };
+/// A call not answered so long after it was due is late: far longer than a healthy store
+/// takes, and equal to the time-out of a heartbeat. Since connections may go silent without
+/// a reset and answers may be lost, the next call doesn't wait for the late one's time-out.
+constexpr Millis late_after { 300 };
+/// Limit of open calls. While the store is silent a call takes up to 2.5 s and another one
+/// is sent every 0.3 s, so that one is sent soon after the store recovers.
+constexpr int max_open_calls = 8;
+/// Delay before the next call after the store refused one.
+constexpr Millis refused_retry_delay { 400 };
+/// Delay after a call that failed before it was late, for example by a reset connection.
+constexpr Millis lost_retry_delay { 100 };
+/// Greatest age of a fresh configuration. A change has to be in force within 2 s, so a node
+/// with a lower age has all of them. It is longer than a long poll with a normal answer.
+constexpr Millis max_fresh_age { 1500 };
+/// Delay before a newer version reported by a peer is acted on: usually the node's own
+/// watch is answered within tens of milliseconds of the peer's.
+constexpr Millis peer_check_delay { 100 };
+/// A fetch from a peer that takes longer does not prevent the next one.
+constexpr Millis fetch_late_after { 500 };
 constexpr Millis fetch_timeout { 2000 };
-constexpr int most_fetches = 4;
+constexpr int max_open_fetches = 4;
 
-const char* end_name(PeerEnd end)
+const char* to_text(PeerEnd end)
 {
     switch (end) {
     case PeerEnd::answered:
@@ -86,7 +85,7 @@
 
 bool ConfigurationTracker::is_fresh() const
 {
-    return m_store_answered && age() <= fresh_time;
+    return m_store_answered && age() <= max_fresh_age;
 }
 
 void ConfigurationTracker::schedule_next_call(Millis pause)
@@ -99,29 +98,30 @@
     }));
 }
 
-// Sends a call, and the next one when this one is late.
+// Sends a call, and schedules the next one for the time at which this one is late.
 void ConfigurationTracker::send_next_call()
 {
-    if (m_open_calls == most_open) {
-        schedule_next_call(late_time);
+    if (m_open_calls == max_open_calls) {
+        schedule_next_call(late_after);
         return;
     }
     Call call;
     call.name = m_watch_version == 0 ? "read" : "watch";
     call.number = m_last_call.number + 1;
     call.sent = m_loop.now();
-    call.hold = m_watch_version == 0 ? Millis(0) : next_hold();
+    call.poll_time = m_watch_version == 0 ? Millis(0) : next_poll_time();
     m_last_call = call;
     m_last_call_open = true;
     ++m_open_calls;
-    schedule_next_call(call.hold + late_time);
+    schedule_next_call(call.poll_time + late_after);
     send(call);
 }
 
-// The answer comes before what this node knows is older than a hold.
-Millis ConfigurationTracker::next_hold() const
+// Long polls get shorter with the configuration's age, so that an answer is due before the
+// age exceeds the longest poll.
+Millis ConfigurationTracker::next_poll_time() const
 {
-    return std::clamp(longest_hold - age(), shortest_hold, longest_hold);
+    return std::clamp(max_poll_time - age(), min_poll_time, max_poll_time);
 }
 
 void ConfigurationTracker::send(const Call& call)
@@ -132,7 +132,7 @@
     if (m_watch_version == 0)
         m_directory.read_configuration(read_timeout, std::move(done));
     else
-        m_directory.watch_configuration(m_watch_version, call.hold, std::move(done));
+        m_directory.watch_configuration(m_watch_version, call.poll_time, std::move(done));
 }
 
 void ConfigurationTracker::on_answer(const Call& call,
@@ -141,7 +141,7 @@
     m_metrics.count("pathport_config_calls_total",
                     { { "call", call.name }, { "outcome", to_string(answer.status) } });
     --m_open_calls;
-    const bool newest = call.number == m_last_call.number;
+    const bool is_last_call = call.number == m_last_call.number;
     Millis pause;
     if (answer.status == StoreStatus::ok) {
         record_answer(call, answer);
@@ -151,18 +151,20 @@
     } else if (answer.status == StoreStatus::history_lost) {
         m_watch_version = 0;
     } else {
-        pause = answer.status == StoreStatus::refused ? refused_pause : lost_pause;
-        if (newest)
+        pause = answer.status == StoreStatus::refused ? refused_retry_delay
+                                                      : lost_retry_delay;
+        if (is_last_call)
             record_failure(call, to_string(answer.status));
     }
-    if (!newest)
-        return; // The newest call, or its end, brings about the next one.
+    if (!is_last_call)
+        return; // The next call is scheduled by the last call or its answer.
     m_last_call_open = false;
     schedule_next_call(pause);
 }
 
-// The store answers without a change only after the whole hold, so that nothing was newer
-// then; else that is known of the moment when it was asked.
+// The store answers without a change only after the full long poll, which confirms that
+// there was no newer version at its end. Any other answer confirms it for the time of the
+// call only.
 void ConfigurationTracker::record_answer(const Call& call,
                                          const DirectoryAnswer<Configuration>& answer)
 {
@@ -179,8 +181,9 @@
                     { "in_force", version() } });
     m_failures = 0;
     m_store_answered = true;
-    const bool held = !answer.value && m_loop.now() >= call.sent + call.hold;
-    m_confirmed_at = std::max(m_confirmed_at, held ? call.sent + call.hold : call.sent);
+    const bool polled_in_full = !answer.value && m_loop.now() >= call.sent + call.poll_time;
+    m_confirmed_at
+        = std::max(m_confirmed_at, polled_in_full ? call.sent + call.poll_time : call.sent);
 }
 
 void ConfigurationTracker::record_failure(const Call& call, const char* outcome)
@@ -198,12 +201,12 @@
 
 void ConfigurationTracker::apply(const Configuration& configuration, const char* source)
 {
-    const int64_t present = version();
-    if (configuration.version <= present)
+    const int64_t previous = version();
+    if (configuration.version <= previous)
         return;
     log_event(LogLevel::info, "configuration_applied",
               { { "version", configuration.version },
-                { "before", present },
+                { "before", previous },
                 { "queues", static_cast<int64_t>(configuration.queues.size()) },
                 { "source", source },
                 { "age_ms", age().count() } });
@@ -221,12 +224,12 @@
     if (m_peer_check_pending)
         return;
     m_peer_check_pending = true;
-    m_loop.after(told_wait, m_lifetime.wrap([this] { check_peer_version(); }));
+    m_loop.after(peer_check_delay, m_lifetime.wrap([this] { check_peer_version(); }));
 }
 
-// The store's link bears the answers to all nodes at once, a peer's may not: a
-// configuration of some hundred queues takes 100 kB. The peer is asked when the store
-// doesn't answer.
+// Calls the store first, and fetches from the peer only when the store doesn't answer: a
+// configuration with some hundred queues takes 100 kB, and a peer's link may not carry
+// answers to all nodes at once as the store's does.
 void ConfigurationTracker::check_peer_version()
 {
     if (m_newest_peer_version <= version()) {
@@ -234,7 +237,7 @@
         return;
     }
     send_next_call();
-    m_loop.after(late_time, m_lifetime.wrap([this] {
+    m_loop.after(late_after, m_lifetime.wrap([this] {
         m_peer_check_pending = false;
         if (m_newest_peer_version > version())
             fetch_from_peer();
@@ -244,8 +247,9 @@
 void ConfigurationTracker::fetch_from_peer()
 {
     const Millis now = m_loop.now();
-    const bool waits = m_open_fetches > 0 && now - m_last_fetch_sent < late_fetch;
-    if (waits || m_open_fetches == most_fetches)
+    const bool fetch_pending
+        = m_open_fetches > 0 && now - m_last_fetch_sent < fetch_late_after;
+    if (fetch_pending || m_open_fetches == max_open_fetches)
         return;
     ++m_open_fetches;
     m_last_fetch_sent = now;
@@ -269,7 +273,7 @@
                                       const PeerAnswer& answer)
 {
     m_metrics.count("pathport_config_calls_total",
-                    { { "call", "peer" }, { "outcome", end_name(end) } });
+                    { { "call", "peer" }, { "outcome", to_text(end) } });
     const auto configuration = end == PeerEnd::answered && !answer.row.empty()
         ? decode_configuration(answer.row)
         : std::nullopt;
@@ -279,7 +283,7 @@
     }
     log_event(LogLevel::warn, "configuration_not_fetched",
               { { "peer", address },
-                { "end", end_name(end) },
+                { "end", to_text(end) },
                 { "bytes", static_cast<int64_t>(answer.row.size()) },
                 { "after_ms", (m_loop.now() - asked).count() } });
 }
--- a/src/jobs.lib/configuration_tracker.h
+++ b/src/jobs.lib/configuration_tracker.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// How a node learns of the operators' configuration.
+/// Tracks the operators' configuration on a node.
 
 #pragma once
 
@@ -21,48 +21,49 @@
 
 namespace pathport::jobs {
 
-/// Keeps the newest configuration that the store or a peer has told of, and knows how old
-/// that knowledge is. A life of a node never goes back to an older configuration.
+/// Holds the newest configuration received from the store or a peer, and the time since the
+/// store last confirmed it. While a node's process runs, it never goes back to an older
+/// version.
 ///
-/// It watches the store by calls that are held back there for up to a second. A call that
-/// is late is not waited for: another one follows on another connection, and whichever is
-/// answered counts. A peer that tells of a newer version makes the node ask the store at
-/// once, and that peer when the store doesn't answer.
+/// The store is watched by long polls of up to a second. When a call is late, another one
+/// is sent on another connection, and any answer counts, whichever call it belongs to. When
+/// a peer reports a newer version, the node calls the store at once, and fetches the
+/// configuration from that peer if the store doesn't answer.
 class ConfigurationTracker {
 public:
     ConfigurationTracker(EventLoop& loop, Directory& directory, PeerClient& peers,
                          Metrics& metrics, std::string node);
 
-    /// Begins to read and to watch.
+    /// Starts reading and watching the configuration.
     void begin();
-    /// From now on `listener` is told of each configuration that is applied.
+    /// Sets the function that is called with each configuration that is applied.
     void on_applied(std::function<void(const Configuration&)> listener);
-    /// A peer that takes messages at `address` has the configuration of this version.
+    /// Records that the peer at `address` has reported this configuration version.
     void note_peer_version(const std::string& address, int64_t version);
 
-    /// Returns the newest configuration that is known, or nothing when there is none yet.
+    /// Returns the newest known configuration, or null when there is none yet.
     std::shared_ptr<const Configuration> current() const { return m_current; }
-    /// Returns its version, or 0.
+    /// Returns the version of current(), or 0 when there is none.
     int64_t version() const { return m_current ? m_current->version : 0; }
-    /// Returns how long ago the store last told that nothing newer is there.
+    /// Returns the time since the store last confirmed that there is no newer version.
     Millis age() const;
-    /// Returns whether that is so short ago that a change which has to be in force by now
-    /// is known. Only then may a caller be told that a queue does not exist.
+    /// Returns whether age() is so low that every change which has to be in force by now
+    /// has been applied. Only then may a caller be told that a queue does not exist.
     bool is_fresh() const;
 
 private:
     /// One call to the store.
     struct Call {
         const char* name = "";
-        int64_t number = 0; ///< Rises from call to call.
+        int64_t number = 0; ///< Increases with each call.
         Millis sent;
-        Millis hold; ///< The store may hold its answer back for so long.
+        Millis poll_time; ///< How long the store may delay its answer (long poll).
     };
 
     void send_next_call();
     void schedule_next_call(Millis pause);
     void send(const Call& call);
-    Millis next_hold() const;
+    Millis next_poll_time() const;
     void on_answer(const Call& call, const DirectoryAnswer<Configuration>& answer);
     void record_answer(const Call& call, const DirectoryAnswer<Configuration>& answer);
     void record_failure(const Call& call, const char* outcome);
@@ -79,19 +80,19 @@
     std::string m_node;
     std::function<void(const Configuration&)> m_listener;
     std::shared_ptr<const Configuration> m_current;
-    Millis m_confirmed_at; ///< When the store had nothing newer than what it told.
-    bool m_store_answered = false; ///< It has told of something in this life.
-    int64_t m_watch_version = 0; ///< Changes after this version are watched for; 0: read.
-    Call m_last_call; ///< The call that was sent last.
+    Millis m_confirmed_at; ///< When the store last had no newer version.
+    bool m_store_answered = false; ///< Since this process started.
+    int64_t m_watch_version = 0; ///< Store version to watch from; 0: read.
+    Call m_last_call; ///< The call sent last.
     bool m_last_call_open = false;
-    int m_open_calls = 0; ///< Calls without an answer.
-    int m_failures = 0; ///< Calls that failed or were late since one was answered.
-    EventLoop::TimerId m_timer = 0; ///< Sends the next call, also while one is open.
-    std::string m_newer_peer; ///< A peer that has a newer configuration than this node.
-    int64_t m_newest_peer_version = 0; ///< The version of that.
+    int m_open_calls = 0; ///< Calls not answered yet.
+    int m_failures = 0; ///< Failed or late calls since the last answer.
+    EventLoop::TimerId m_timer = 0; ///< For the next call, also while one is open.
+    std::string m_newer_peer; ///< A peer with a newer configuration.
+    int64_t m_newest_peer_version = 0; ///< The highest version reported by a peer.
     bool m_peer_check_pending = false;
-    int m_open_fetches = 0; ///< Open ones.
-    Millis m_last_fetch_sent; ///< When the last one was sent.
+    int m_open_fetches = 0; ///< Fetches from peers not answered yet.
+    Millis m_last_fetch_sent; ///< When the last fetch was sent.
     Lifetime m_lifetime;
 };
 
--- a/src/jobs.lib/configuration_tracker_test.cpp
+++ b/src/jobs.lib/configuration_tracker_test.cpp
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// How a node asks for the configuration, call by call.
+/// Calls of a node to the store and to peers for the configuration.
 
 #define BOOST_TEST_MODULE configuration_tracker
 #include <boost/test/unit_test.hpp>
@@ -24,17 +24,17 @@
 
 using ConfigurationReply = std::function<void(DirectoryAnswer<Configuration>)>;
 
-/// One call that waits for its answer.
+/// A call to the directory, answered or not.
 struct OpenCall {
     int64_t after = 0; ///< 0 for a read.
-    Millis hold;
+    Millis poll_time;
     ConfigurationReply done;
 };
 
-/// A directory that answers when the test does.
-class HandDirectory : public Directory {
+/// A directory whose calls are answered by the test.
+class ManualDirectory : public Directory {
 public:
-    std::vector<OpenCall> calls; ///< All so far; answered ones have no `done`.
+    std::vector<OpenCall> calls; ///< All calls; `done` is empty once answered.
 
     void
     read_workers(Millis,
@@ -58,8 +58,8 @@
     }
 };
 
-/// Keeps messages and their replies.
-class HandPeers : public PeerClient {
+/// Records messages and their reply functions.
+class ManualPeers : public PeerClient {
 public:
     struct Message {
         std::string address;
@@ -82,8 +82,8 @@
     return configuration;
 }
 
-/// The answer of a store whose newest version is `store_version`; version 0 for no change.
-DirectoryAnswer<Configuration> told(int64_t store_version, int64_t version = 0)
+/// Returns the answer of a store at `store_version`; version 0 stands for no change.
+DirectoryAnswer<Configuration> store_answer(int64_t store_version, int64_t version = 0)
 {
     DirectoryAnswer<Configuration> answer;
     answer.status = StoreStatus::ok;
@@ -100,12 +100,12 @@
     return answer;
 }
 
-/// A tracker that has read version 5, at the store's version 100, at once.
+/// A tracker that has read configuration 5 at store version 100.
 struct Fixture {
     emulator::World world { 3 };
     emulator::ProcessLoop loop { world };
-    HandDirectory directory;
-    HandPeers peers;
+    ManualDirectory directory;
+    ManualPeers peers;
     Metrics metrics;
     ConfigurationTracker tracker { loop, directory, peers, metrics, "n1" };
 
@@ -113,7 +113,7 @@
     {
         start_log("test", LogLevel::error);
         tracker.begin();
-        directory.answer(0, told(100, 5));
+        directory.answer(0, store_answer(100, 5));
         run(1);
         BOOST_REQUIRE(directory.calls.size() == 2U);
     }
@@ -128,46 +128,46 @@
 
 } // namespace
 
-BOOST_FIXTURE_TEST_CASE(watch_goes_on_from_what_was_read, Fixture)
+BOOST_FIXTURE_TEST_CASE(watch_continues_from_last_read_version, Fixture)
 {
     BOOST_TEST(tracker.version() == 5);
     BOOST_TEST(last().after == 100);
-    run(last().hold.count());
-    answer_last(told(130));
+    run(last().poll_time.count());
+    answer_last(store_answer(130));
     run(1);
     BOOST_TEST(last().after == 130);
-    answer_last(told(140, 6));
+    answer_last(store_answer(140, 6));
     run(1);
     BOOST_TEST(tracker.version() == 6);
     BOOST_TEST(last().after == 140);
     BOOST_TEST(directory.calls.size() == 4U);
 }
 
-BOOST_FIXTURE_TEST_CASE(late_watch_is_joined_by_another_call_that_hardly_waits, Fixture)
+BOOST_FIXTURE_TEST_CASE(late_watch_is_followed_by_call_with_short_poll, Fixture)
 {
     run(1500);
     BOOST_REQUIRE(directory.calls.size() == 3U);
     BOOST_TEST(last().after == 100);
-    BOOST_TEST(last().hold.count() <= 50);
-    answer_last(told(120, 7));
+    BOOST_TEST(last().poll_time.count() <= 50);
+    answer_last(store_answer(120, 7));
     BOOST_TEST(tracker.version() == 7);
 }
 
-BOOST_FIXTURE_TEST_CASE(late_answer_counts_and_asks_nothing_more, Fixture)
+BOOST_FIXTURE_TEST_CASE(late_answer_is_applied_without_another_call, Fixture)
 {
     run(1400);
     BOOST_REQUIRE(directory.calls.size() == 3U);
-    directory.answer(1, told(120, 7));
+    directory.answer(1, store_answer(120, 7));
     BOOST_TEST(tracker.version() == 7);
     run(1);
     BOOST_TEST(directory.calls.size() == 3U);
-    answer_last(told(110, 6));
+    answer_last(store_answer(110, 6));
     BOOST_TEST(tracker.version() == 7);
     run(1);
     BOOST_TEST(last().after == 120);
 }
 
-BOOST_FIXTURE_TEST_CASE(silent_store_is_asked_again_and_again_by_a_bounded_number, Fixture)
+BOOST_FIXTURE_TEST_CASE(open_calls_to_silent_store_are_bounded, Fixture)
 {
     run(20000);
     BOOST_TEST(directory.calls.size() == 1U + 8U);
@@ -176,7 +176,7 @@
     BOOST_TEST(directory.calls.size() == 1U + 9U);
 }
 
-BOOST_FIXTURE_TEST_CASE(refused_call_pauses_and_lost_history_is_read_at_once, Fixture)
+BOOST_FIXTURE_TEST_CASE(refused_call_is_delayed_and_lost_history_is_read_at_once, Fixture)
 {
     answer_last(failed(StoreStatus::refused));
     run(390);
@@ -189,37 +189,38 @@
     BOOST_TEST(last().after == 0);
 }
 
-BOOST_FIXTURE_TEST_CASE(configuration_that_cannot_be_read_leaves_the_one_in_force, Fixture)
+BOOST_FIXTURE_TEST_CASE(malformed_configuration_leaves_the_current_one_in_force, Fixture)
 {
-    auto answer = told(120);
+    auto answer = store_answer(120);
     answer.unreadable = "no JSON";
     answer_last(answer);
     BOOST_TEST(tracker.version() == 5);
     run(1);
-    answer_last(told(130, 6));
+    answer_last(store_answer(130, 6));
     BOOST_TEST(tracker.version() == 6);
 }
 
-BOOST_FIXTURE_TEST_CASE(knowledge_ages_from_when_the_store_told_of_nothing_newer, Fixture)
+BOOST_FIXTURE_TEST_CASE(age_counts_from_last_confirmation_by_the_store, Fixture)
 {
     run(999);
-    answer_last(told(130));
+    answer_last(store_answer(130));
     BOOST_TEST(tracker.age().count() <= 1);
     BOOST_TEST(tracker.is_fresh());
     run(1501);
     BOOST_TEST(!tracker.is_fresh());
-    // A change is told at once, so an answer with one says nothing of the time of its hold.
-    directory.answer(2, told(140, 6));
+    // The store answers at once on a change, so that answer confirms nothing for the time
+    // of its long poll.
+    directory.answer(2, store_answer(140, 6));
     BOOST_TEST(tracker.age().count() >= 1500);
 }
 
-// It may have been an older one.
-BOOST_AUTO_TEST_CASE(configuration_of_a_peer_alone_is_not_fresh)
+// The peer's configuration may itself be outdated.
+BOOST_AUTO_TEST_CASE(configuration_from_a_peer_only_is_not_fresh)
 {
     emulator::World world(4);
     emulator::ProcessLoop loop(world);
-    HandDirectory directory;
-    HandPeers peers;
+    ManualDirectory directory;
+    ManualPeers peers;
     Metrics metrics;
     ConfigurationTracker tracker(loop, directory, peers, metrics, "n1");
     tracker.begin();
@@ -231,35 +232,36 @@
     peers.sent[0].done(PeerEnd::answered, answer);
     BOOST_TEST(tracker.version() == 3);
     BOOST_TEST(!tracker.is_fresh());
-    directory.answer(0, told(100, 3));
+    directory.answer(0, store_answer(100, 3));
     BOOST_TEST(tracker.is_fresh());
 }
 
-BOOST_FIXTURE_TEST_CASE(life_never_goes_back, Fixture)
+BOOST_FIXTURE_TEST_CASE(version_never_decreases, Fixture)
 {
-    answer_last(told(140, 8));
+    answer_last(store_answer(140, 8));
     run(1);
-    answer_last(told(150, 6));
+    answer_last(store_answer(150, 6));
     BOOST_TEST(tracker.version() == 8);
 }
 
-BOOST_FIXTURE_TEST_CASE(peer_that_has_a_newer_one_makes_the_node_ask_the_store, Fixture)
+BOOST_FIXTURE_TEST_CASE(newer_version_of_a_peer_causes_a_call_to_the_store, Fixture)
 {
     tracker.note_peer_version("n2", 9);
     run(110);
     BOOST_REQUIRE(directory.calls.size() == 3U);
-    answer_last(told(140, 9));
+    answer_last(store_answer(140, 9));
     run(1000);
     BOOST_TEST(peers.sent.empty());
 }
 
-BOOST_FIXTURE_TEST_CASE(peer_is_asked_when_the_store_does_not_answer, Fixture)
+BOOST_FIXTURE_TEST_CASE(configuration_is_fetched_from_peer_when_the_store_does_not_answer,
+                        Fixture)
 {
     tracker.note_peer_version("n2", 9);
     run(410);
     BOOST_REQUIRE(peers.sent.size() == 1U);
     BOOST_TEST(peers.sent[0].address == "n2");
-    // On a connection that went silent; another peer's word is not held up by it.
+    // The first fetch gets no answer; a fetch from another peer must not wait for it.
     run(500);
     tracker.note_peer_version("n3", 9);
     run(410);
@@ -274,7 +276,7 @@
     BOOST_TEST(tracker.version() == 9);
 }
 
-BOOST_FIXTURE_TEST_CASE(older_or_same_version_of_a_peer_is_no_news, Fixture)
+BOOST_FIXTURE_TEST_CASE(older_or_same_version_of_a_peer_is_ignored, Fixture)
 {
     tracker.note_peer_version("n2", 5);
     tracker.note_peer_version("n3", 4);
@@ -284,7 +286,7 @@
     BOOST_TEST(peers.sent.empty());
 }
 
-BOOST_FIXTURE_TEST_CASE(every_message_tells_the_version_in_both_directions, Fixture)
+BOOST_FIXTURE_TEST_CASE(every_message_carries_the_version_in_both_directions, Fixture)
 {
     VersionGossip gossip(peers, tracker, "n1-address");
     PeerRequest request;
@@ -302,23 +304,23 @@
     run(110);
     BOOST_TEST(directory.calls.size() == 3U);
 
-    int64_t told_version = 0;
+    int64_t reported_version = 0;
     const PeerResponder respond = gossip.receive(
-        request, [&](const PeerAnswer& sent) { told_version = sent.config_version; });
+        request, [&](const PeerAnswer& sent) { reported_version = sent.config_version; });
     respond(PeerAnswer());
-    BOOST_TEST(told_version == 5);
+    BOOST_TEST(reported_version == 5);
 }
 
-BOOST_FIXTURE_TEST_CASE(listener_is_told_of_each_configuration_once, Fixture)
+BOOST_FIXTURE_TEST_CASE(listener_is_called_once_per_configuration, Fixture)
 {
     std::vector<int64_t> versions;
     tracker.on_applied(
         [&](const Configuration& applied) { versions.push_back(applied.version); });
-    answer_last(told(140, 8));
+    answer_last(store_answer(140, 8));
     run(1);
-    answer_last(told(150, 8));
+    answer_last(store_answer(150, 8));
     run(1);
-    answer_last(told(160, 11));
+    answer_last(store_answer(160, 11));
     BOOST_TEST(versions == (std::vector<int64_t> { 8, 11 }),
                boost::test_tools::per_element());
 }
--- a/src/loop.lib/async_http_client.cpp
+++ b/src/loop.lib/async_http_client.cpp
@@ -24,21 +24,21 @@
 namespace http = beast::http;
 using tcp = boost::asio::ip::tcp;
 
-/// Kept connections to one server, at most.
-constexpr size_t max_kept_connections = 24;
-/// The largest answer that is read.
-constexpr size_t max_answer_bytes = size_t(8) * 1024 * 1024;
+/// Maximum number of idle connections to one server.
+constexpr size_t max_idle_connections = 24;
+/// The largest response that is accepted.
+constexpr size_t max_response_bytes = size_t(8) * 1024 * 1024;
 
-/// Read at a time of an answer that may be long, so that the largest one takes hundreds of
+/// Read size for responses that may be long, so that the largest one takes hundreds of
 /// reads instead of thousands.
-constexpr size_t piece_bytes = 16384;
-/// An answer of which bytes came so long ago is under way: a poll of the jobs' table is
-/// followed by the next one after as long.
-constexpr Millis receiving_time { 500 };
+constexpr size_t read_size = 16384;
+/// A response counts as being received for this time after its last bytes. It equals the
+/// interval between polls of the job table.
+constexpr Millis receiving_window { 500 };
 
-/// An answer that has not begun so long after it was due is late: about thirty times what
-/// the users' store takes, and as long as a heartbeat waits.
-constexpr Millis late_time { 300 };
+/// A response not begun so long after it was due is late: about thirty times the usual
+/// response time of the store, and equal to the time-out of a heartbeat.
+constexpr Millis late_after { 300 };
 
 struct Connection {
     explicit Connection(boost::asio::io_context& context)
@@ -47,9 +47,9 @@
     }
     beast::tcp_stream stream;
     beast::flat_buffer buffer;
-    int64_t number = 0; ///< Among all calls sent and connections opened.
-    Millis idle_since; ///< When its last answer came.
-    bool reused = false; ///< It has answered an earlier call.
+    int64_t sequence = 0; ///< In the sequence of calls sent and connections opened.
+    Millis idle_since; ///< When the last response was received.
+    bool reused = false; ///< It has carried an earlier call.
 };
 
 std::string pool_key(const Address& address)
@@ -67,22 +67,22 @@
     {
     }
 
-    /// One call and the connection that carries it.
+    /// A call and the connection that carries it.
     struct Exchange {
         ClientCall call;
         std::function<void(CallOutcome)> done;
         std::unique_ptr<Connection> connection;
-        Millis waits_until; ///< Of a call that waits for a connection.
-        Millis sent; ///< When it was given to its connection.
-        int64_t number = 0; ///< As in CallOutcome.
-        Millis last_heard; ///< When bytes of its answer came; zero before the first.
+        Millis queue_deadline; ///< Of a call queued for a connection.
+        Millis sent; ///< When writing the request was started.
+        int64_t sequence = 0; ///< See CallOutcome.
+        Millis last_received; ///< When bytes of the response last came; 0: none.
         http::request<http::string_body> request;
         std::unique_ptr<http::response_parser<http::string_body>> parser;
 
-        /// Returns when the server should have answered.
-        Millis due() const { return sent + call.max_response_delay; }
-        /// Returns whether any byte of the answer has come.
-        bool heard() const
+        /// Returns the time at which the response is due.
+        Millis response_due() const { return sent + call.max_response_delay; }
+        /// Returns whether any byte of the response has been received.
+        bool response_begun() const
         {
             return connection->buffer.size() > 0 || (parser && parser->got_some());
         }
@@ -91,14 +91,14 @@
 
     const HttpTrafficByPath& traffic() const { return m_traffic; }
 
-    bool receiving(const std::string& path) const
+    bool is_receiving(const std::string& path) const
     {
-        return std::any_of(m_extending.begin(), m_extending.end(),
-                           [&](const ExchangePtr& exchange) {
-                               return exchange->last_heard > Millis()
-                                   && m_loop.now() - exchange->last_heard < receiving_time
-                                   && path_of(exchange->call) == path;
-                           });
+        return std::any_of(
+            m_extending.begin(), m_extending.end(), [&](const ExchangePtr& exchange) {
+                return exchange->last_received > Millis()
+                    && m_loop.now() - exchange->last_received < receiving_window
+                    && path_of(exchange->call) == path;
+            });
     }
 
     void send(ClientCall call, std::function<void(CallOutcome)> done)
@@ -108,56 +108,59 @@
         exchange->done = std::move(done);
         Server& server = m_servers[pool_key(exchange->call.server)];
         if (server.busy >= m_limits.max_connections) {
-            wait(server, exchange);
+            enqueue(server, exchange);
             return;
         }
-        begin(server, exchange);
+        start_call(server, exchange);
     }
 
-    void forget(const Address& server) { m_servers[pool_key(server)].kept.clear(); }
+    void close_idle_connections(const Address& server)
+    {
+        m_servers[pool_key(server)].idle.clear();
+    }
 
     size_t open_connections() const
     {
         size_t count = 0;
         for (const auto& [key, server] : m_servers)
-            count += server.busy + server.kept.size();
+            count += server.busy + server.idle.size();
         return count;
     }
 
 private:
-    /// What there is of one server.
+    /// Connections and calls of one server.
     struct Server {
-        std::vector<std::unique_ptr<Connection>> kept;
-        std::deque<ExchangePtr> waiting; ///< For a connection.
-        size_t busy = 0; ///< Connections that carry a call.
-        std::vector<ExchangePtr> on_reused; ///< Calls on connections that were kept.
+        std::vector<std::unique_ptr<Connection>> idle;
+        std::deque<ExchangePtr> waiting; ///< Calls queued for a connection.
+        size_t busy = 0; ///< Number of connections in use.
+        std::vector<ExchangePtr> calls_on_reused; ///< Calls on reused connections.
     };
 
-    void begin(Server& server, const ExchangePtr& exchange)
+    void start_call(Server& server, const ExchangePtr& exchange)
     {
         ++server.busy;
-        doubt_late_calls(server);
-        exchange->connection = take_kept(server);
+        close_suspects_of_late_calls(server);
+        exchange->connection = take_idle(server);
         if (exchange->connection) {
-            server.on_reused.push_back(exchange);
+            server.calls_on_reused.push_back(exchange);
             write(exchange);
             return;
         }
         connect(exchange);
     }
 
-    void wait(Server& server, const ExchangePtr& exchange)
+    void enqueue(Server& server, const ExchangePtr& exchange)
     {
-        exchange->waits_until = m_loop.now() + exchange->call.timeout;
+        exchange->queue_deadline = m_loop.now() + exchange->call.timeout;
         server.waiting.push_back(exchange);
         m_loop.after(exchange->call.timeout, [self = shared_from_this(), exchange] {
             if (exchange->connection || exchange->done == nullptr)
                 return;
-            self->give_up_waiting(exchange);
+            self->expire_queued(exchange);
         });
     }
 
-    void give_up_waiting(const ExchangePtr& exchange)
+    void expire_queued(const ExchangePtr& exchange)
     {
         auto& waiting = m_servers[pool_key(exchange->call.server)].waiting;
         const auto found = std::find(waiting.begin(), waiting.end(), exchange);
@@ -166,15 +169,15 @@
         waiting.erase(found);
         CallOutcome outcome;
         outcome.end = CallEnd::unreachable;
-        tell(exchange, std::move(outcome));
+        complete(exchange, std::move(outcome));
     }
 
-    // A call has ended: the next one that waits may have its place.
+    // Frees the connection slot of an ended call, and starts the next queued one.
     void release(const ExchangePtr& exchange)
     {
         Server& server = m_servers[pool_key(exchange->call.server)];
         --server.busy;
-        auto& reused = server.on_reused;
+        auto& reused = server.calls_on_reused;
         reused.erase(std::remove(reused.begin(), reused.end(), exchange), reused.end());
         m_extending.erase(std::remove(m_extending.begin(), m_extending.end(), exchange),
                           m_extending.end());
@@ -182,23 +185,23 @@
             return;
         const ExchangePtr next = server.waiting.front();
         server.waiting.pop_front();
-        // What is left of its time is for the call itself.
-        next->call.timeout = std::max(Millis(1), next->waits_until - m_loop.now());
-        begin(server, next);
+        // The rest of its time-out is left for the call itself.
+        next->call.timeout = std::max(Millis(1), next->queue_deadline - m_loop.now());
+        start_call(server, next);
     }
 
-    static void tell(const ExchangePtr& exchange, CallOutcome outcome)
+    static void complete(const ExchangePtr& exchange, CallOutcome outcome)
     {
         const auto done = std::move(exchange->done);
         exchange->done = nullptr;
         done(std::move(outcome));
     }
 
-    std::unique_ptr<Connection> take_kept(Server& server)
+    std::unique_ptr<Connection> take_idle(Server& server)
     {
-        while (!server.kept.empty()) {
-            std::unique_ptr<Connection> connection = std::move(server.kept.back());
-            server.kept.pop_back();
+        while (!server.idle.empty()) {
+            std::unique_ptr<Connection> connection = std::move(server.idle.back());
+            server.idle.pop_back();
             if (!is_usable(*connection))
                 continue;
             connection->reused = true;
@@ -207,39 +210,41 @@
         return nullptr;
     }
 
-    void sweep_later()
+    void schedule_sweep()
     {
-        if (m_sweeping)
+        if (m_sweep_scheduled)
             return;
-        m_sweeping = true;
+        m_sweep_scheduled = true;
         m_loop.after(m_limits.max_idle, [weak = weak_from_this()] {
             if (const auto self = weak.lock())
-                self->sweep();
+                self->close_expired();
         });
     }
 
-    // Closes what has been idle for too long; the oldest of a server come first.
-    void sweep()
+    // Closes connections that were idle for too long. Each server's list is sorted by
+    // idle_since, the oldest first.
+    void close_expired()
     {
-        m_sweeping = false;
+        m_sweep_scheduled = false;
         const Millis oldest = m_loop.now() - m_limits.max_idle;
-        bool any_kept = false;
+        bool any_idle = false;
         for (auto entry = m_servers.begin(); entry != m_servers.end();) {
             Server& server = entry->second;
-            const auto fresh = std::find_if(
-                server.kept.begin(), server.kept.end(),
+            const auto unexpired = std::find_if(
+                server.idle.begin(), server.idle.end(),
                 [&](const auto& connection) { return connection->idle_since > oldest; });
-            server.kept.erase(server.kept.begin(), fresh);
-            any_kept = any_kept || !server.kept.empty();
+            server.idle.erase(server.idle.begin(), unexpired);
+            any_idle = any_idle || !server.idle.empty();
             const bool unused
-                = server.kept.empty() && server.waiting.empty() && server.busy == 0;
+                = server.idle.empty() && server.waiting.empty() && server.busy == 0;
             entry = unused ? m_servers.erase(entry) : std::next(entry);
         }
-        if (any_kept)
-            sweep_later();
+        if (any_idle)
+            schedule_sweep();
     }
 
-    // A kept connection that has something to read was closed, or holds a late answer.
+    // An idle connection with something to read was closed by the server, or holds a late
+    // response.
     bool is_usable(Connection& connection) const
     {
         if (m_loop.now() - connection.idle_since > m_limits.max_idle)
@@ -266,11 +271,11 @@
         stream.async_connect(
             tcp::endpoint(ip, exchange->call.server.port),
             [self = shared_from_this(), exchange](boost::system::error_code failure) {
-                self->connected(exchange, failure);
+                self->on_connected(exchange, failure);
             });
     }
 
-    void connected(const ExchangePtr& exchange, boost::system::error_code error)
+    void on_connected(const ExchangePtr& exchange, boost::system::error_code error)
     {
         if (error == boost::asio::error::connection_refused) {
             finish(exchange, CallEnd::refused);
@@ -280,7 +285,7 @@
             finish(exchange, CallEnd::unreachable);
             return;
         }
-        exchange->connection->number = ++m_last_number;
+        exchange->connection->sequence = ++m_last_sequence;
         boost::system::error_code ignored;
         auto& socket = exchange->connection->stream.socket();
         socket.set_option(tcp::no_delay(true), ignored);
@@ -290,7 +295,7 @@
     void write(const ExchangePtr& exchange)
     {
         exchange->sent = m_loop.now();
-        exchange->number = ++m_last_number;
+        exchange->sequence = ++m_last_sequence;
         const ClientCall& call = exchange->call;
         auto& request = exchange->request;
         request.version(11);
@@ -310,15 +315,15 @@
                            exchange](boost::system::error_code error, size_t bytes) {
                               self->traffic_of(exchange->call).sent
                                   += static_cast<int64_t>(bytes);
-                              self->written(exchange, error);
+                              self->on_written(exchange, error);
                           });
     }
 
     static std::string& body_for(Exchange& exchange)
     {
         ClientCall& call = exchange.call;
-        const bool proven = exchange.connection->number < call.opened_before_call;
-        return proven ? call.reused_connection_body : call.body;
+        const bool opened_before = exchange.connection->sequence < call.opened_before_call;
+        return opened_before ? call.reused_connection_body : call.body;
     }
 
     static std::string path_of(const ClientCall& call)
@@ -328,25 +333,25 @@
 
     HttpTraffic& traffic_of(const ClientCall& call) { return m_traffic[path_of(call)]; }
 
-    void written(const ExchangePtr& exchange, boost::system::error_code error)
+    void on_written(const ExchangePtr& exchange, boost::system::error_code error)
     {
         if (error) {
             if (error == beast::error::timeout)
-                suspect_kept(*exchange);
+                close_suspects(*exchange);
             finish(exchange, CallEnd::unknown);
             return;
         }
         exchange->parser = std::make_unique<http::response_parser<http::string_body>>();
-        exchange->parser->body_limit(max_answer_bytes);
-        exchange->parser->eager(true); // The body as it comes.
+        exchange->parser->body_limit(max_response_bytes);
+        exchange->parser->eager(true); // Parse the body as it is received.
         if (exchange->call.extends_while_receiving) {
-            exchange->connection->buffer.reserve(piece_bytes);
+            exchange->connection->buffer.reserve(read_size);
             m_extending.push_back(exchange);
         }
-        read_piece(exchange);
+        read_some(exchange);
     }
 
-    void read_piece(const ExchangePtr& exchange)
+    void read_some(const ExchangePtr& exchange)
     {
         auto& connection = *exchange->connection;
         http::async_read_some(connection.stream, connection.buffer, *exchange->parser,
@@ -354,27 +359,28 @@
                                exchange](boost::system::error_code failure, size_t bytes) {
                                   self->traffic_of(exchange->call).received
                                       += static_cast<int64_t>(bytes);
-                                  self->piece_read(exchange, failure);
+                                  self->on_read_some(exchange, failure);
                               });
     }
 
-    void piece_read(const ExchangePtr& exchange, boost::system::error_code error)
+    void on_read_some(const ExchangePtr& exchange, boost::system::error_code error)
     {
         if (!error && !exchange->parser->is_done()) {
-            read_on(exchange);
+            continue_reading(exchange);
             return;
         }
-        if (error == beast::error::timeout && !exchange->heard())
-            suspect_kept(*exchange);
-        read(exchange, error);
+        if (error == beast::error::timeout && !exchange->response_begun())
+            close_suspects(*exchange);
+        on_response(exchange, error);
     }
 
-    // Answers that grow with what was missed take longer than their calls' time on a thin
-    // link: cut off though their bytes kept coming, they were asked for again, and grew.
-    void read_on(const ExchangePtr& exchange)
+    // Extends the time-out of a long response. A feed's response grows with the changes
+    // that were missed, and may take longer than the time-out on a slow link. If it were
+    // cut off while bytes still arrive, the next response would be even larger.
+    void continue_reading(const ExchangePtr& exchange)
     {
         if (exchange->call.extends_while_receiving) {
-            exchange->last_heard = m_loop.now();
+            exchange->last_received = m_loop.now();
             const Millis left = extended_time(*exchange);
             if (left <= Millis(0)) {
                 finish(exchange, CallEnd::unknown);
@@ -383,20 +389,20 @@
             exchange->connection->stream.expires_after(
                 std::chrono::milliseconds(left.count()));
         }
-        read_piece(exchange);
+        read_some(exchange);
     }
 
-    // Returns how long more bytes of an answer are waited for, never shorter than without
-    // an extension.
+    // Returns the time-out for the next bytes of a response, never shorter than without an
+    // extension.
     Millis extended_time(const Exchange& exchange) const
     {
         const Millis timeout = exchange.call.timeout;
-        const Millis latest = std::max(exchange.sent + timeout,
-                                       exchange.due() + m_limits.max_response_time);
-        return std::min(timeout, latest - exchange.last_heard);
+        const Millis latest = std::max(
+            exchange.sent + timeout, exchange.response_due() + m_limits.max_response_time);
+        return std::min(timeout, latest - exchange.last_received);
     }
 
-    void read(const ExchangePtr& exchange, boost::system::error_code error)
+    void on_response(const ExchangePtr& exchange, boost::system::error_code error)
     {
         if (error) {
             finish(exchange, CallEnd::unknown);
@@ -404,65 +410,67 @@
         }
         CallOutcome outcome;
         outcome.end = CallEnd::answered;
-        outcome.sequence = exchange->number;
+        outcome.sequence = exchange->sequence;
         outcome.status = exchange->parser->get().result_int();
         outcome.body = std::move(exchange->parser->get().body());
         if (exchange->parser->get().keep_alive())
-            keep(exchange->call.server, std::move(exchange->connection));
+            return_to_pool(exchange->call.server, std::move(exchange->connection));
         release(exchange);
-        tell(exchange, std::move(outcome));
+        complete(exchange, std::move(outcome));
     }
 
-    // A call on a kept connection heard nothing in its time. Open connections may go silent
-    // without a reset while new ones work, and then most of a server's do so together:
-    // whichever of them has not answered since the call's answer was due is not used again.
-    // Without this each of up to 24 kept connections takes one more call and all of its
-    // time; with it the call after the first is answered at once (silent_connections_test).
-    // A connection that carries a call is left to that call, and a new one that got no
-    // answer says nothing about older ones.
-    void suspect_kept(const Exchange& silent)
+    // Handles a call that timed out on a reused connection without receiving a byte. Open
+    // connections may go silent without a reset while new ones work, and usually most
+    // connections to a server do so together. So those idle connections are closed that
+    // have not carried a response since this call's response was due. Without this, each of
+    // up to 24 idle connections would cost one more call its full time-out; with it, the
+    // call after the first is answered at once (silent_connections_test). Connections in
+    // use are left to their calls, and a new connection without a response says nothing
+    // about older ones.
+    void close_suspects(const Exchange& silent)
     {
         if (silent.connection->reused)
-            drop_unproven(m_servers[pool_key(silent.call.server)], silent.due());
+            close_idle_since(m_servers[pool_key(silent.call.server)],
+                             silent.response_due());
     }
 
-    // The same before its time is over, when a connection is chosen for the next call.
-    // Calls with a second or more would otherwise hide silent connections from others for
-    // so long: after 0.5 s of a call's 5 s the next one is answered at once
-    // (silent_connections_test).
+    // Late calls raise the same suspicion before they time out, when a connection is chosen
+    // for the next call. Otherwise calls with a time-out of a second or more would hide
+    // silent connections from other calls for that long: 0.5 s into a call with a 5 s
+    // time-out the next one is answered at once (silent_connections_test).
     static bool is_late(const Exchange& exchange, Millis now)
     {
-        return now - exchange.due() > late_time && !exchange.heard();
+        return now - exchange.response_due() > late_after && !exchange.response_begun();
     }
 
-    void doubt_late_calls(Server& server)
+    void close_suspects_of_late_calls(Server& server)
     {
         const Millis now = m_loop.now();
-        for (const ExchangePtr& exchange : server.on_reused) {
+        for (const ExchangePtr& exchange : server.calls_on_reused) {
             if (is_late(*exchange, now))
-                drop_unproven(server, exchange->due());
+                close_idle_since(server, exchange->response_due());
         }
     }
 
-    static void drop_unproven(Server& server, Millis due)
+    static void close_idle_since(Server& server, Millis response_due)
     {
-        const auto proven = std::find_if(
-            server.kept.begin(), server.kept.end(),
-            [&](const auto& connection) { return connection->idle_since > due; });
-        server.kept.erase(server.kept.begin(), proven); // The longest idle come first.
+        const auto used_since = std::find_if(
+            server.idle.begin(), server.idle.end(),
+            [&](const auto& connection) { return connection->idle_since > response_due; });
+        server.idle.erase(server.idle.begin(), used_since); // Sorted, longest idle first.
     }
 
-    void keep(const Address& server, std::unique_ptr<Connection> connection)
+    void return_to_pool(const Address& server, std::unique_ptr<Connection> connection)
     {
-        auto& kept = m_servers[pool_key(server)].kept;
-        if (kept.size() >= max_kept_connections)
+        auto& idle = m_servers[pool_key(server)].idle;
+        if (idle.size() >= max_idle_connections)
             return;
         connection->stream.expires_never();
         connection->idle_since = m_loop.now();
         connection->buffer.clear();
         connection->buffer.shrink_to_fit();
-        kept.push_back(std::move(connection));
-        sweep_later();
+        idle.push_back(std::move(connection));
+        schedule_sweep();
     }
 
     void finish(const ExchangePtr& exchange, CallEnd end)
@@ -471,7 +479,7 @@
         release(exchange);
         CallOutcome outcome;
         outcome.end = end;
-        tell(exchange, std::move(outcome));
+        complete(exchange, std::move(outcome));
     }
 
     void finish_later(const ExchangePtr& exchange, CallEnd end)
@@ -485,9 +493,9 @@
     ClientLimits m_limits;
     std::map<std::string, Server> m_servers; ///< By address.
     HttpTrafficByPath m_traffic;
-    std::vector<ExchangePtr> m_extending; ///< Calls whose answers extend their time.
-    bool m_sweeping = false; ///< sweep() is due.
-    int64_t m_last_number = 0;
+    std::vector<ExchangePtr> m_extending; ///< Open calls with extends_while_receiving.
+    bool m_sweep_scheduled = false; ///< A run of close_expired() is scheduled.
+    int64_t m_last_sequence = 0;
 };
 
 AsyncHttpClient::AsyncHttpClient(IoLoop& loop, ClientLimits limits)
@@ -504,7 +512,7 @@
 
 void AsyncHttpClient::close_idle_connections(const Address& server)
 {
-    m_impl->forget(server);
+    m_impl->close_idle_connections(server);
 }
 
 const HttpTrafficByPath& AsyncHttpClient::traffic() const
@@ -514,7 +522,7 @@
 
 bool AsyncHttpClient::is_receiving(const std::string& path) const
 {
-    return m_impl->receiving(path);
+    return m_impl->is_receiving(path);
 }
 
 size_t AsyncHttpClient::open_connections() const
--- a/src/loop.lib/async_http_server.cpp
+++ b/src/loop.lib/async_http_server.cpp
@@ -21,10 +21,10 @@
 using tcp = boost::asio::ip::tcp;
 
 constexpr int listen_backlog = 1024;
-/// How long an answer may take to be written to a slow reader.
+/// Limit on the time for writing a response to a slow client.
 constexpr std::chrono::seconds write_timeout { 30 };
-/// Pause before accepting again after the process ran out of descriptors.
-constexpr Millis accept_pause { 100 };
+/// Delay before accepting again after an error, such as too many open descriptors.
+constexpr Millis accept_retry_delay { 100 };
 
 Millis time_limit_of(const http::request<http::string_body>& request)
 {
@@ -56,15 +56,16 @@
     Address address;
     ServerHandler handler;
     ServerLimits limits;
-    std::vector<std::string> kept_headers;
+    std::vector<std::string> captured_headers;
     tcp::acceptor acceptor;
     std::unordered_set<Session*> sessions;
     bool draining = false;
-    size_t under_way = 0;
+    size_t in_progress = 0;
     HttpTraffic traffic;
 };
 
-/// One connection: reads a request, waits for its answer, writes it, and so on.
+/// A connection: reads a request, waits for the response, writes it, then reads the next
+/// one.
 class AsyncHttpServer::Impl::Session : public std::enable_shared_from_this<Session> {
 public:
     Session(std::shared_ptr<Impl> server, tcp::socket socket)
@@ -93,7 +94,7 @@
             });
     }
 
-    /// Closes the connection if it waits for a request of which nothing has come.
+    /// Closes the connection if it waits for a request and has received no byte of it.
     void close_if_idle()
     {
         if (!m_busy && m_buffer.size() == 0)
@@ -118,7 +119,7 @@
             return;
         }
         m_busy = true;
-        ++m_server->under_way;
+        ++m_server->in_progress;
         auto message = m_parser->release();
         m_keep_alive = message.keep_alive();
         ServerRequest request;
@@ -129,8 +130,8 @@
         const auto host = message[http::field::host];
         request.host.assign(host.data(), host.size());
         request.time_limit = time_limit_of(message);
-        for (const std::string& name : m_server->kept_headers)
-            keep(name, message, request.headers);
+        for (const std::string& name : m_server->captured_headers)
+            append_headers(name, message, request.headers);
         request.body = std::move(message.body());
         request.received = m_server->loop.now();
         m_stream.expires_never();
@@ -140,13 +141,14 @@
                           });
     }
 
-    static void keep(const std::string& name,
-                     const http::request<http::string_body>& message, HeaderList& kept)
+    static void append_headers(const std::string& name,
+                               const http::request<http::string_body>& message,
+                               HeaderList& captured)
     {
         const auto [first, last] = message.equal_range(name);
         for (auto field = first; field != last; ++field) {
             const auto value = field->value();
-            kept.emplace_back(name, std::string(value.data(), value.size()));
+            captured.emplace_back(name, std::string(value.data(), value.size()));
         }
     }
 
@@ -154,7 +156,7 @@
     {
         m_keep_alive = false;
         m_busy = true;
-        ++m_server->under_way;
+        ++m_server->in_progress;
         ServerResponse answer;
         answer.status = status;
         answer.body = R"({"error":"bad_request"})";
@@ -186,7 +188,7 @@
     void on_written(boost::system::error_code error)
     {
         m_busy = false;
-        --m_server->under_way;
+        --m_server->in_progress;
         if (error || !m_keep_alive) {
             close();
             return;
@@ -237,7 +239,7 @@
             if (error == boost::asio::error::operation_aborted || !self->acceptor.is_open())
                 return;
             if (error) {
-                self->loop.after(accept_pause, [self] { self->accept(); });
+                self->loop.after(accept_retry_delay, [self] { self->accept(); });
                 return;
             }
             if (self->sessions.size() < self->limits.max_connections)
@@ -271,7 +273,7 @@
 
 void AsyncHttpServer::capture_header(const std::string& name)
 {
-    m_impl->kept_headers.push_back(name);
+    m_impl->captured_headers.push_back(name);
 }
 
 void AsyncHttpServer::close_after_responses()
@@ -286,7 +288,7 @@
 
 size_t AsyncHttpServer::requests_in_progress() const
 {
-    return m_impl->under_way;
+    return m_impl->in_progress;
 }
 
 const HttpTraffic& AsyncHttpServer::traffic() const
--- a/src/loop.lib/io_loop_impl.h
+++ b/src/loop.lib/io_loop_impl.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// What IoLoop shares with the HTTP parts of this library.
+/// Implementation of IoLoop, shared with the HTTP server and client of this library.
 
 #pragma once
 
--- a/src/loop.lib/loop_test.cpp
+++ b/src/loop.lib/loop_test.cpp
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// HTTP on the event loop: kept connections, limits, time-outs, an end in order.
+/// HTTP on the event loop: reused connections, limits, time-outs, orderly shutdown.
 
 #define BOOST_TEST_MODULE loop
 #include <boost/test/unit_test.hpp>
@@ -30,7 +30,7 @@
     return call;
 }
 
-/// Sends `call` and runs the loop until it has ended.
+/// Sends `call`, and runs the loop until the call has ended.
 CallOutcome send_and_run(IoLoop& loop, AsyncHttpClient& client, ClientCall call)
 {
     CallOutcome result;
@@ -52,7 +52,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(request_arrives_whole_and_answer_comes_back)
+BOOST_AUTO_TEST_CASE(request_arrives_completely_and_response_is_returned)
 {
     IoLoop loop;
     AsyncHttpServer server(loop, address, echo, {});
@@ -64,7 +64,7 @@
     BOOST_TEST(outcome.body == "POST /x?y=1 1234 hello");
 }
 
-BOOST_AUTO_TEST_CASE(dead_port_is_told_from_a_silent_server)
+BOOST_AUTO_TEST_CASE(closed_port_is_reported_as_refused)
 {
     IoLoop loop;
     AsyncHttpClient client(loop);
@@ -74,17 +74,18 @@
 BOOST_AUTO_TEST_CASE(silent_server_leaves_the_outcome_unknown)
 {
     IoLoop loop;
-    std::vector<ServerReply> kept;
-    AsyncHttpServer server(
-        loop, address,
-        [&](const ServerRequest&, ServerReply reply) { kept.push_back(std::move(reply)); },
-        {});
+    std::vector<ServerReply> pending_replies;
+    AsyncHttpServer server(loop, address,
+                           [&](const ServerRequest&, ServerReply reply) {
+                               pending_replies.push_back(std::move(reply));
+                           },
+                           {});
     BOOST_REQUIRE(server.start());
     AsyncHttpClient client(loop);
     ClientCall call = call_with("a");
     call.timeout = Millis(100);
     BOOST_TEST((send_and_run(loop, client, call).end == CallEnd::unknown));
-    BOOST_TEST(kept.size() == 1U);
+    BOOST_TEST(pending_replies.size() == 1U);
 }
 
 BOOST_AUTO_TEST_CASE(body_over_the_limit_is_refused)
@@ -100,7 +101,7 @@
     BOOST_TEST(outcome.status == 413);
 }
 
-BOOST_AUTO_TEST_CASE(connections_are_closed_after_their_answer_at_a_planned_stop)
+BOOST_AUTO_TEST_CASE(connections_are_closed_after_their_response_at_a_planned_stop)
 {
     IoLoop loop;
     AsyncHttpServer server(loop, address, echo, {});
@@ -114,7 +115,7 @@
     BOOST_TEST(server.requests_in_progress() == 0U);
 }
 
-// A server may reset connections over a number of its own, and those of dead clients count.
+// A server may reset connections over its own limit, which includes those of dead clients.
 BOOST_AUTO_TEST_CASE(calls_share_a_bounded_number_of_connections)
 {
     IoLoop loop;
@@ -149,15 +150,16 @@
     BOOST_TEST(most_under_way == connections);
 }
 
-// A call that got no connection in its time has sent nothing, and says so.
-BOOST_AUTO_TEST_CASE(call_that_gets_no_connection_in_its_time_is_unreachable)
+// A call that got no connection within its time-out reports that nothing was sent.
+BOOST_AUTO_TEST_CASE(call_without_a_connection_within_its_timeout_is_unreachable)
 {
     IoLoop loop;
-    std::vector<ServerReply> kept;
-    AsyncHttpServer server(
-        loop, address,
-        [&](const ServerRequest&, ServerReply reply) { kept.push_back(std::move(reply)); },
-        {});
+    std::vector<ServerReply> pending_replies;
+    AsyncHttpServer server(loop, address,
+                           [&](const ServerRequest&, ServerReply reply) {
+                               pending_replies.push_back(std::move(reply));
+                           },
+                           {});
     BOOST_REQUIRE(server.start());
     ClientLimits limits;
     limits.max_connections = 1;
@@ -166,10 +168,11 @@
     ClientCall second = call_with("second");
     second.timeout = Millis(100);
     BOOST_TEST((send_and_run(loop, client, second).end == CallEnd::unreachable));
-    BOOST_TEST(kept.size() == 1U);
+    BOOST_TEST(pending_replies.size() == 1U);
 }
 
-// A node that leads no more would otherwise hold its connections to all workers for good.
+// Otherwise a node that is no longer the leader would keep its connections to all workers
+// forever.
 BOOST_AUTO_TEST_CASE(idle_connections_are_closed)
 {
     IoLoop loop;
@@ -185,9 +188,9 @@
     BOOST_TEST(client.open_connections() == 0U);
 }
 
-// What only the process may have that answered before: a new connection may lead to another
-// one in its place.
-BOOST_AUTO_TEST_CASE(connection_that_was_open_by_then_carries_the_other_body)
+// Data meant only for the process that answered before must not go over a new connection,
+// which may lead to another process in its place.
+BOOST_AUTO_TEST_CASE(reused_connection_carries_its_own_body)
 {
     IoLoop loop;
     auto server = std::make_unique<AsyncHttpServer>(loop, address, echo, ServerLimits());
@@ -211,14 +214,14 @@
     BOOST_TEST(body_sent(later.sequence) == "known");
 }
 
-BOOST_AUTO_TEST_CASE(timers_fire_in_order_and_can_be_dropped)
+BOOST_AUTO_TEST_CASE(timers_fire_in_order_and_can_be_canceled)
 {
     IoLoop loop;
     std::string order;
     loop.after(Millis(20), [&] { order += "b"; });
     loop.after(Millis(5), [&] { order += "a"; });
-    const auto dropped = loop.after(Millis(10), [&] { order += "x"; });
-    loop.cancel(dropped);
+    const auto canceled = loop.after(Millis(10), [&] { order += "x"; });
+    loop.cancel(canceled);
     loop.after(Millis(40), [&] { loop.stop(); });
     loop.run();
     BOOST_TEST(order == "ab");
--- a/src/loop.lib/silent_connections_test.cpp
+++ b/src/loop.lib/silent_connections_test.cpp
@@ -2,15 +2,13 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Open connections that go silent for good, without a reset, while new ones work.
+/// Open connections that go silent without a reset, while new ones work.
 ///
-/// What is seen: after a network in between has dropped what it knew of the open
-/// connections, call after call to a server that is well gets no answer in its time.
-/// How it comes about: each server has up to two dozen kept connections, and the one that
-/// was used last carries the next call. A silent one looks like any other until its call's
-/// time is over, and only that one is closed then. Cause: what one call has found out says
-/// something about the connections beside its own. Proof: with five silent connections the
-/// second call must be answered at once; only the sixth was before.
+/// Guards against a series of calls to a healthy server that all time out, after the
+/// network in between has lost its state of the open connections. Each server has up to 24
+/// idle connections, and the last used one carries the next call. If a time-out closes only
+/// the connection of its own call, each silent connection costs another call. With five
+/// silent connections the second call must be answered at once, not only the sixth.
 
 #define BOOST_TEST_MODULE silent_connections
 #include <boost/test/unit_test.hpp>
@@ -37,16 +35,15 @@
 constexpr size_t connections = 5;
 constexpr Millis call_time { 200 };
 constexpr Millis long_call_time { 800 };
-/// A call that has heard nothing for so long is late.
-constexpr Millis late_time { 500 };
-/// An answer of a server that is well comes within this time, also on a busy machine.
+/// A call without a byte of a response after this time is late.
+constexpr Millis late_after { 500 };
+/// A healthy server responds within this time, even on a busy machine.
 constexpr Millis at_once { 100 };
-const std::string whole_answer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
-const std::string begun_answer = "HTTP/1.1 200 OK\r\nContent-";
+const std::string complete_response = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
+const std::string partial_response = "HTTP/1.1 200 OK\r\nContent-";
 
-/// A server whose connections go silent on demand: it takes one more request there and
-/// says nothing. It answers `/begin` by the beginning of an answer, and `/wait/MS` after a
-/// time.
+/// A server whose connections go silent on demand: one more request is read there, and not
+/// answered. `/begin` gets the start of a response, `/wait/MS` a response after MS ms.
 class SilencingServer {
 public:
     explicit SilencingServer(IoLoop& loop)
@@ -57,15 +54,15 @@
         accept();
     }
 
-    /// Those that are open now are silent for good.
+    /// Makes all open connections silent for good.
     void silence_open_connections()
     {
         for (const auto& connection : m_connections)
             connection->silent = true;
     }
-    /// The connection of the next request is silent from then on.
-    void silence_connection_of_next_request() { m_swallows_next = true; }
-    /// All connections are silent, those to come as well.
+    /// Makes the connection of the next request silent from then on.
+    void silence_connection_of_next_request() { m_silence_next = true; }
+    /// Makes all connections silent, including future ones.
     void silence_all() { m_silent = true; }
     size_t accepted() const { return m_connections.size(); }
 
@@ -105,7 +102,7 @@
                 const std::string request(begin, bytes);
                 connection->input.consume(bytes);
                 handle(connection, request);
-                // Nothing is read from a silent one, so that its buffers fill.
+                // A silent connection is not read, so that its buffers fill up.
                 if (!connection->silent)
                     read(connection);
             });
@@ -113,21 +110,21 @@
 
     void handle(const ConnectionPtr& connection, const std::string& request)
     {
-        connection->silent = connection->silent || m_swallows_next;
-        m_swallows_next = false;
+        connection->silent = connection->silent || m_silence_next;
+        m_silence_next = false;
         if (connection->silent || m_silent)
             return;
         const std::string wait = "GET /wait/";
         if (request.rfind("GET /begin", 0) == 0) {
-            answer(connection, begun_answer);
+            answer(connection, partial_response);
         } else if (request.rfind(wait, 0) == 0) {
             const Millis delay(std::stoll(request.substr(wait.size())));
             m_loop.after(delay, [this, connection] {
                 if (!connection->silent)
-                    answer(connection, whole_answer);
+                    answer(connection, complete_response);
             });
         } else {
-            answer(connection, whole_answer);
+            answer(connection, complete_response);
         }
     }
 
@@ -140,7 +137,7 @@
     IoLoop& m_loop;
     tcp::acceptor m_acceptor;
     std::vector<ConnectionPtr> m_connections;
-    bool m_swallows_next = false;
+    bool m_silence_next = false;
     bool m_silent = false;
 };
 
@@ -154,14 +151,14 @@
     return call;
 }
 
-/// A client, a server, and `connections` kept connections between them.
+/// A client, a server, and `connections` idle connections between them.
 class Fixture {
 public:
     explicit Fixture(const ClientLimits& limits = {})
         : server(loop)
         , client(loop, limits)
     {
-        // Calls that are open at the same time have a connection each.
+        // Each of the concurrent calls gets its own connection.
         send_all(connections, call_to("/wait/20"));
         BOOST_REQUIRE(client.open_connections() == connections);
     }
@@ -169,7 +166,7 @@
     /// Sends a call and waits until it has ended.
     CallEnd send(const ClientCall& call) { return send_all(1, call).front(); }
 
-    /// Sends a call so many times at once and waits until all have ended.
+    /// Sends `count` copies of a call at once and waits until all have ended.
     std::vector<CallEnd> send_all(size_t count, const ClientCall& call)
     {
         std::vector<CallEnd> ends;
@@ -193,8 +190,8 @@
     /// Returns whether a call is answered at once.
     bool answers_at_once()
     {
-        const Millis begun = loop.now();
-        return send(call_to("/")) == CallEnd::answered && loop.now() - begun < at_once;
+        const Millis started = loop.now();
+        return send(call_to("/")) == CallEnd::answered && loop.now() - started < at_once;
     }
 
     IoLoop loop;
@@ -204,186 +201,189 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(one_call_finds_out_about_all_silent_connections)
+BOOST_AUTO_TEST_CASE(one_timeout_closes_all_silent_connections)
 {
-    Fixture cell;
-    cell.server.silence_open_connections();
-    BOOST_TEST((cell.send(call_to("/")) == CallEnd::unknown));
-    BOOST_TEST(cell.answers_at_once());
-    BOOST_TEST(cell.client.open_connections() == 1U);
-    BOOST_TEST(cell.server.accepted() == connections + 1);
+    Fixture fixture;
+    fixture.server.silence_open_connections();
+    BOOST_TEST((fixture.send(call_to("/")) == CallEnd::unknown));
+    BOOST_TEST(fixture.answers_at_once());
+    BOOST_TEST(fixture.client.open_connections() == 1U);
+    BOOST_TEST(fixture.server.accepted() == connections + 1);
 }
 
-// A request that fills the socket's buffers is never written whole.
-BOOST_AUTO_TEST_CASE(call_that_could_not_be_written_finds_out_as_well)
+// A request that fills the socket's buffers is never written completely.
+BOOST_AUTO_TEST_CASE(write_timeout_closes_silent_connections_as_well)
 {
-    Fixture cell;
-    cell.server.silence_open_connections();
+    Fixture fixture;
+    fixture.server.silence_open_connections();
     ClientCall large = call_to("/");
     large.body = std::string(size_t(32) * 1024 * 1024, 'x');
-    BOOST_TEST((cell.send(large) == CallEnd::unknown));
-    BOOST_TEST(cell.answers_at_once());
+    BOOST_TEST((fixture.send(large) == CallEnd::unknown));
+    BOOST_TEST(fixture.answers_at_once());
 }
 
-// Where connections are few, calls that wait for one must not be given a silent one.
-BOOST_AUTO_TEST_CASE(waiting_call_gets_a_new_connection_after_a_silent_one)
+// With few connections, queued calls must not be given a silent one.
+BOOST_AUTO_TEST_CASE(queued_call_gets_a_new_connection_after_a_silent_one)
 {
     ClientLimits limits;
     limits.max_connections = connections;
-    Fixture cell(limits);
-    cell.server.silence_open_connections();
+    Fixture fixture(limits);
+    fixture.server.silence_open_connections();
     std::vector<CallEnd> ends;
     const auto note = [&](const CallOutcome& outcome) {
         ends.push_back(outcome.end);
         if (ends.size() == connections + 1)
-            cell.loop.stop();
+            fixture.loop.stop();
     };
     for (size_t i = 0; i < connections; ++i)
-        cell.client.send(call_to("/"), note);
-    cell.client.send(call_to("/", long_call_time), note);
-    cell.loop.run();
+        fixture.client.send(call_to("/"), note);
+    fixture.client.send(call_to("/", long_call_time), note);
+    fixture.loop.run();
     BOOST_TEST(std::count(ends.begin(), ends.end(), CallEnd::unknown) == connections);
     BOOST_TEST((ends.back() == CallEnd::answered));
-    BOOST_TEST(cell.answers_at_once());
+    BOOST_TEST(fixture.answers_at_once());
 }
 
-BOOST_AUTO_TEST_CASE(connections_that_have_answered_since_are_kept)
+BOOST_AUTO_TEST_CASE(connections_used_since_the_response_was_due_are_kept)
 {
-    Fixture cell;
-    cell.server.silence_connection_of_next_request();
-    CallEnd swallowed = CallEnd::answered;
-    cell.client.send(call_to("/"), [&](const CallOutcome& outcome) {
-        swallowed = outcome.end;
-        cell.loop.stop();
+    Fixture fixture;
+    fixture.server.silence_connection_of_next_request();
+    CallEnd unanswered = CallEnd::answered;
+    fixture.client.send(call_to("/"), [&](const CallOutcome& outcome) {
+        unanswered = outcome.end;
+        fixture.loop.stop();
     });
-    // All others answer a call while the first one waits.
+    // All other connections carry a response while the first call waits.
     size_t answered = 0;
-    cell.loop.after(Millis(20), [&] {
+    fixture.loop.after(Millis(20), [&] {
         for (size_t i = 0; i + 1 < connections; ++i)
-            cell.client.send(call_to("/wait/20"), [&](const CallOutcome& outcome) {
+            fixture.client.send(call_to("/wait/20"), [&](const CallOutcome& outcome) {
                 answered += outcome.end == CallEnd::answered ? 1 : 0;
             });
     });
-    cell.loop.run();
-    BOOST_TEST((swallowed == CallEnd::unknown));
+    fixture.loop.run();
+    BOOST_TEST((unanswered == CallEnd::unknown));
     BOOST_TEST(answered == connections - 1);
-    BOOST_TEST(cell.client.open_connections() == connections - 1);
-    BOOST_TEST(cell.answers_at_once());
-    BOOST_TEST(cell.server.accepted() == connections);
+    BOOST_TEST(fixture.client.open_connections() == connections - 1);
+    BOOST_TEST(fixture.answers_at_once());
+    BOOST_TEST(fixture.server.accepted() == connections);
 }
 
-// A connection that answered while the server held the call back may have gone silent
+// A connection that carried a response during another call's long poll may have gone silent
 // since.
-BOOST_AUTO_TEST_CASE(answers_while_a_call_was_held_back_prove_nothing)
+BOOST_AUTO_TEST_CASE(responses_during_a_long_poll_do_not_prove_a_connection)
 {
-    Fixture cell;
+    Fixture fixture;
     ClientCall held = call_to("/wait/400", Millis(600));
     held.max_response_delay = Millis(400);
     CallEnd end = CallEnd::answered;
-    cell.client.send(held, [&](const CallOutcome& outcome) {
+    fixture.client.send(held, [&](const CallOutcome& outcome) {
         end = outcome.end;
-        cell.loop.stop();
+        fixture.loop.stop();
     });
-    cell.loop.after(Millis(20), [&] {
+    fixture.loop.after(Millis(20), [&] {
         for (size_t i = 0; i + 1 < connections; ++i)
-            cell.client.send(call_to("/wait/20"), [](const CallOutcome&) {});
+            fixture.client.send(call_to("/wait/20"), [](const CallOutcome&) {});
     });
-    cell.loop.after(Millis(150), [&] { cell.server.silence_open_connections(); });
-    cell.loop.run();
+    fixture.loop.after(Millis(150), [&] { fixture.server.silence_open_connections(); });
+    fixture.loop.run();
     BOOST_TEST((end == CallEnd::unknown));
-    BOOST_TEST(cell.answers_at_once());
-    BOOST_TEST(cell.client.open_connections() == 1U);
+    BOOST_TEST(fixture.answers_at_once());
+    BOOST_TEST(fixture.client.open_connections() == 1U);
 }
 
-// A call that may wait for seconds is no reason to lose others for as long.
-BOOST_AUTO_TEST_CASE(late_call_makes_others_suspect_before_its_time_is_over)
+// A call with a time-out of seconds must not make other calls fail for that long.
+BOOST_AUTO_TEST_CASE(late_call_closes_suspects_before_its_timeout)
 {
-    Fixture cell;
-    cell.server.silence_open_connections();
+    Fixture fixture;
+    fixture.server.silence_open_connections();
     bool ended = false;
-    cell.client.send(call_to("/", Millis(5000)), [&](const CallOutcome&) { ended = true; });
-    cell.run_for(late_time);
-    BOOST_TEST(cell.answers_at_once());
+    fixture.client.send(call_to("/", Millis(5000)),
+                        [&](const CallOutcome&) { ended = true; });
+    fixture.run_for(late_after);
+    BOOST_TEST(fixture.answers_at_once());
     BOOST_TEST(!ended);
-    BOOST_TEST(cell.client.open_connections() == 2U); // The call's own is left to it.
+    BOOST_TEST(fixture.client.open_connections() == 2U); // One still carries the late call.
 }
 
-BOOST_AUTO_TEST_CASE(call_that_the_server_may_hold_back_is_not_late)
+BOOST_AUTO_TEST_CASE(long_poll_is_not_late)
 {
-    Fixture cell;
+    Fixture fixture;
     ClientCall held = call_to("/wait/1500", Millis(5000));
     held.max_response_delay = Millis(1500);
     CallEnd end = CallEnd::unknown;
-    cell.client.send(held, [&](const CallOutcome& outcome) { end = outcome.end; });
-    cell.run_for(late_time);
-    BOOST_TEST(cell.answers_at_once());
-    BOOST_TEST(cell.server.accepted() == connections);
-    cell.run_for(held.timeout - late_time - late_time);
+    fixture.client.send(held, [&](const CallOutcome& outcome) { end = outcome.end; });
+    fixture.run_for(late_after);
+    BOOST_TEST(fixture.answers_at_once());
+    BOOST_TEST(fixture.server.accepted() == connections);
+    fixture.run_for(held.timeout - late_after - late_after);
     BOOST_TEST((end == CallEnd::answered));
 }
 
-BOOST_AUTO_TEST_CASE(late_call_whose_answer_has_begun_makes_nothing_suspect)
+BOOST_AUTO_TEST_CASE(late_call_with_response_begun_closes_nothing)
 {
-    Fixture cell;
-    cell.client.send(call_to("/begin", Millis(5000)), [](const CallOutcome&) {});
-    cell.run_for(late_time);
-    BOOST_TEST(cell.answers_at_once());
-    BOOST_TEST(cell.server.accepted() == connections);
+    Fixture fixture;
+    fixture.client.send(call_to("/begin", Millis(5000)), [](const CallOutcome&) {});
+    fixture.run_for(late_after);
+    BOOST_TEST(fixture.answers_at_once());
+    BOOST_TEST(fixture.server.accepted() == connections);
 }
 
 BOOST_AUTO_TEST_CASE(connection_that_carries_a_call_is_not_cut_off)
 {
-    Fixture cell;
+    Fixture fixture;
     CallEnd slow = CallEnd::unknown;
-    cell.client.send(call_to("/wait/500", Millis(3000)), [&](const CallOutcome& outcome) {
-        slow = outcome.end;
-        cell.loop.stop();
-    });
-    cell.loop.after(Millis(30), [&] {
-        cell.server.silence_connection_of_next_request();
-        cell.client.send(call_to("/"), [](const CallOutcome& outcome) {
+    fixture.client.send(call_to("/wait/500", Millis(3000)),
+                        [&](const CallOutcome& outcome) {
+                            slow = outcome.end;
+                            fixture.loop.stop();
+                        });
+    fixture.loop.after(Millis(30), [&] {
+        fixture.server.silence_connection_of_next_request();
+        fixture.client.send(call_to("/"), [](const CallOutcome& outcome) {
             BOOST_TEST((outcome.end == CallEnd::unknown));
         });
     });
-    cell.loop.run();
+    fixture.loop.run();
     BOOST_TEST((slow == CallEnd::answered));
-    BOOST_TEST(cell.answers_at_once());
-    BOOST_TEST(cell.server.accepted() == connections);
+    BOOST_TEST(fixture.answers_at_once());
+    BOOST_TEST(fixture.server.accepted() == connections);
 }
 
-BOOST_AUTO_TEST_CASE(answer_that_has_begun_makes_nothing_suspect)
+BOOST_AUTO_TEST_CASE(timeout_with_response_begun_closes_nothing_else)
 {
-    Fixture cell;
-    BOOST_TEST((cell.send(call_to("/begin")) == CallEnd::unknown));
-    BOOST_TEST(cell.client.open_connections() == connections - 1);
-    BOOST_TEST(cell.answers_at_once());
-    BOOST_TEST(cell.server.accepted() == connections);
+    Fixture fixture;
+    BOOST_TEST((fixture.send(call_to("/begin")) == CallEnd::unknown));
+    BOOST_TEST(fixture.client.open_connections() == connections - 1);
+    BOOST_TEST(fixture.answers_at_once());
+    BOOST_TEST(fixture.server.accepted() == connections);
 }
 
-// A server that is slow as a whole has no more connections than calls at a time, and its
-// calls end in their time.
+// With a server that is slow on all connections there are no more connections than
+// concurrent calls, and the calls end within their time-outs.
 BOOST_AUTO_TEST_CASE(connections_to_a_slow_server_stay_bounded)
 {
     ClientLimits limits;
     limits.max_connections = connections;
-    Fixture cell(limits);
+    Fixture fixture(limits);
     constexpr size_t rounds = 4;
     for (size_t round = 0; round < rounds; ++round) {
-        const auto ends = cell.send_all(connections, call_to("/wait/300"));
+        const auto ends = fixture.send_all(connections, call_to("/wait/300"));
         BOOST_TEST(std::count(ends.begin(), ends.end(), CallEnd::unknown) == connections);
-        BOOST_TEST(cell.client.open_connections() == 0U);
+        BOOST_TEST(fixture.client.open_connections() == 0U);
     }
-    BOOST_TEST(cell.server.accepted() == rounds * connections);
+    BOOST_TEST(fixture.server.accepted() == rounds * connections);
 }
 
-BOOST_AUTO_TEST_CASE(calls_to_a_server_that_is_silent_as_a_whole_end_in_their_time)
+BOOST_AUTO_TEST_CASE(calls_to_a_fully_silent_server_end_within_their_timeout)
 {
-    Fixture cell;
-    cell.server.silence_all();
-    const Millis begun = cell.loop.now();
+    Fixture fixture;
+    fixture.server.silence_all();
+    const Millis started = fixture.loop.now();
     constexpr int calls = 3;
     for (int i = 0; i < calls; ++i)
-        BOOST_TEST((cell.send(call_to("/")) == CallEnd::unknown));
-    BOOST_TEST((cell.loop.now() - begun < Millis(calls * call_time.count()) + at_once));
-    BOOST_TEST(cell.client.open_connections() == 0U);
+        BOOST_TEST((fixture.send(call_to("/")) == CallEnd::unknown));
+    BOOST_TEST(
+        (fixture.loop.now() - started < Millis(calls * call_time.count()) + at_once));
+    BOOST_TEST(fixture.client.open_connections() == 0U);
 }
--- a/src/loop.lib/slow_answers_test.cpp
+++ b/src/loop.lib/slow_answers_test.cpp
@@ -2,7 +2,10 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Answers that come in pieces, over longer than their call's time, as through a thin link.
+/// Responses that arrive in pieces over more than their call's time-out, as on a slow link.
+///
+/// Guards against a long response that is cut off by the time-out while its bytes still
+/// arrive, and is then requested again.
 
 #define BOOST_TEST_MODULE slow_answers
 #include <boost/test/unit_test.hpp>
@@ -30,16 +33,16 @@
 constexpr size_t piece_bytes = 10000;
 constexpr size_t answer_pieces = 10;
 constexpr size_t answer_bytes = piece_bytes * answer_pieces;
-/// The whole answer takes about three times as long as its call may.
+/// The whole response takes about three times its call's time-out.
 constexpr Millis piece_interval { 150 };
 constexpr Millis call_time { 500 };
-/// No call of this test ends later, also on a busy machine.
-constexpr Millis long_past { 10000 };
+/// No call of this test takes longer, even on a busy machine.
+constexpr Millis max_call_time { 10000 };
 const Millis all_pieces { int64_t(answer_pieces) * piece_interval.count() };
 const std::string feed = "/feed";
 
-/// A server that answers each request by pieces at regular times. It announces
-/// `answer_pieces` of them.
+/// A server that sends its responses in pieces at regular intervals. Their Content-Length
+/// is that of `answer_pieces` pieces.
 class PieceServer {
 public:
     explicit PieceServer(IoLoop& loop)
@@ -50,8 +53,8 @@
         accept();
     }
 
-    /// So many pieces are sent of each answer, then nothing more.
-    size_t sends_pieces = answer_pieces;
+    /// Number of pieces sent of each response.
+    size_t pieces_to_send = answer_pieces;
     /// The time of the last piece.
     Millis last_sent() const { return m_last_sent; }
 
@@ -82,7 +85,7 @@
                         write(connection,
                               "HTTP/1.1 200 OK\r\nContent-Length: "
                                   + std::to_string(answer_bytes) + "\r\n\r\n");
-                        send_piece(connection, sends_pieces);
+                        send_piece(connection, pieces_to_send);
                     });
                 accept();
             });
@@ -106,7 +109,7 @@
 
     IoLoop& m_loop;
     tcp::acceptor m_acceptor;
-    std::vector<ConnectionPtr> m_connections; ///< They stay open, also when all is sent.
+    std::vector<ConnectionPtr> m_connections; ///< Kept open when all is sent.
     Millis m_last_sent;
 };
 
@@ -155,84 +158,85 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(answer_that_keeps_coming_is_read_to_its_end)
+BOOST_AUTO_TEST_CASE(response_still_being_received_is_read_completely)
 {
-    Fixture cell;
-    const CallOutcome outcome = cell.send(call_to_feed());
+    Fixture fixture;
+    const CallOutcome outcome = fixture.send(call_to_feed());
     BOOST_TEST((outcome.end == CallEnd::answered));
     BOOST_TEST(outcome.body == std::string(answer_bytes, 'x'));
-    BOOST_TEST(cell.client.open_connections() == 1U); // It is kept.
+    BOOST_TEST(fixture.client.open_connections() == 1U); // Kept for reuse.
 }
 
-BOOST_AUTO_TEST_CASE(bytes_that_come_in_pieces_are_counted)
+BOOST_AUTO_TEST_CASE(received_pieces_are_counted_at_once)
 {
-    Fixture cell;
-    cell.client.send(call_to_feed(), [](const CallOutcome&) {});
-    cell.run_for(call_time);
-    const int64_t half_way = cell.client.traffic().at(feed).received;
-    BOOST_TEST(half_way > 0);
-    BOOST_TEST(half_way < int64_t(answer_bytes));
-    cell.run_for(all_pieces);
-    BOOST_TEST(cell.client.traffic().at(feed).received > int64_t(answer_bytes));
+    Fixture fixture;
+    fixture.client.send(call_to_feed(), [](const CallOutcome&) {});
+    fixture.run_for(call_time);
+    const int64_t received_so_far = fixture.client.traffic().at(feed).received;
+    BOOST_TEST(received_so_far > 0);
+    BOOST_TEST(received_so_far < int64_t(answer_bytes));
+    fixture.run_for(all_pieces);
+    BOOST_TEST(fixture.client.traffic().at(feed).received > int64_t(answer_bytes));
 }
 
-// An order to a worker that came late would be worse than none.
-BOOST_AUTO_TEST_CASE(call_that_does_not_ask_for_it_keeps_its_time)
+// A late order to a worker would be worse than none.
+BOOST_AUTO_TEST_CASE(call_without_extension_keeps_its_timeout)
 {
-    Fixture cell;
+    Fixture fixture;
     ClientCall call = call_to_feed();
     call.extends_while_receiving = false;
-    const CallOutcome outcome = cell.send(call);
+    const CallOutcome outcome = fixture.send(call);
     BOOST_TEST((outcome.end == CallEnd::unknown));
-    BOOST_TEST(cell.client.open_connections() == 0U);
+    BOOST_TEST(fixture.client.open_connections() == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(answer_that_stops_in_the_middle_ends_in_the_calls_time)
+BOOST_AUTO_TEST_CASE(response_that_stalls_ends_after_the_timeout)
 {
-    Fixture cell;
-    cell.server.sends_pieces = answer_pieces / 2;
-    const Millis begun = cell.loop.now();
-    const CallOutcome outcome = cell.send(call_to_feed());
+    Fixture fixture;
+    fixture.server.pieces_to_send = answer_pieces / 2;
+    const Millis started = fixture.loop.now();
+    const CallOutcome outcome = fixture.send(call_to_feed());
     BOOST_TEST((outcome.end == CallEnd::unknown));
-    BOOST_TEST((cell.server.last_sent() - begun > call_time)); // It was extended.
-    const Millis silence = cell.loop.now() - cell.server.last_sent();
+    BOOST_TEST(
+        (fixture.server.last_sent() - started > call_time)); // The time-out was extended.
+    const Millis silence = fixture.loop.now() - fixture.server.last_sent();
     BOOST_TEST((silence > call_time - piece_interval));
-    BOOST_TEST((silence < long_past));
+    BOOST_TEST((silence < max_call_time));
 }
 
-BOOST_AUTO_TEST_CASE(answer_that_never_ends_is_cut_off)
+BOOST_AUTO_TEST_CASE(response_over_the_maximum_time_is_cut_off)
 {
     ClientLimits limits;
     limits.max_response_time = call_time + piece_interval;
-    Fixture cell(limits);
-    const Millis begun = cell.loop.now();
-    const CallOutcome outcome = cell.send(call_to_feed());
+    Fixture fixture(limits);
+    const Millis started = fixture.loop.now();
+    const CallOutcome outcome = fixture.send(call_to_feed());
     BOOST_TEST((outcome.end == CallEnd::unknown));
-    BOOST_TEST((cell.loop.now() - begun >= limits.max_response_time));
+    BOOST_TEST((fixture.loop.now() - started >= limits.max_response_time));
 }
 
-BOOST_AUTO_TEST_CASE(answer_under_way_is_seen_while_its_bytes_come)
+BOOST_AUTO_TEST_CASE(response_counts_as_receiving_while_bytes_arrive)
 {
-    Fixture cell;
-    cell.server.sends_pieces = answer_pieces / 2;
+    Fixture fixture;
+    fixture.server.pieces_to_send = answer_pieces / 2;
     ClientCall call = call_to_feed();
-    call.timeout = long_past;
+    call.timeout = max_call_time;
     bool ended = false;
-    BOOST_TEST(!cell.client.is_receiving(feed));
-    cell.client.send(call, [&](const CallOutcome&) { ended = true; });
-    BOOST_TEST(!cell.client.is_receiving(feed));
-    cell.run_for(piece_interval);
-    BOOST_TEST(cell.client.is_receiving(feed));
-    BOOST_TEST(!cell.client.is_receiving("/fee"));
-    // The server sends nothing more, and the call waits on.
-    cell.run_for(all_pieces);
-    BOOST_TEST(!cell.client.is_receiving(feed));
+    BOOST_TEST(!fixture.client.is_receiving(feed));
+    fixture.client.send(call, [&](const CallOutcome&) { ended = true; });
+    BOOST_TEST(!fixture.client.is_receiving(feed));
+    fixture.run_for(piece_interval);
+    BOOST_TEST(fixture.client.is_receiving(feed));
+    BOOST_TEST(!fixture.client.is_receiving("/fee"));
+    // The server sends nothing more, and the call is still open.
+    fixture.run_for(all_pieces);
+    BOOST_TEST(!fixture.client.is_receiving(feed));
     BOOST_TEST(!ended);
 }
 
-BOOST_AUTO_TEST_CASE(answer_that_has_come_is_no_longer_under_way)
+BOOST_AUTO_TEST_CASE(complete_response_no_longer_counts_as_receiving)
 {
-    Fixture cell;
-    BOOST_TEST((cell.send(call_to_feed()).end == CallEnd::answered));
-    BOOST_TEST(!cell.client.is_receiving(feed));
+    Fixture fixture;
+    BOOST_TEST((fixture.send(call_to_feed()).end == CallEnd::answered));
+    BOOST_TEST(!fixture.client.is_receiving(feed));
 }
--- a/src/pathport_jobd/http_peers.cpp
+++ b/src/pathport_jobd/http_peers.cpp
@@ -6,20 +6,20 @@
 namespace pathport {
 
 namespace {
-/// The path of a message, before the name of its topic, which is there for whoever looks at
-/// the traffic: the message names its topic itself.
-const std::string peer_target = "/peer/";
+/// Path of a message, followed by the name of its topic. The name is only for people who
+/// inspect the traffic; the message holds its topic itself.
+const std::string peer_path_prefix = "/peer/";
 
-// Returns for how long a peer may hold its answer back.
-Millis hold_of(jobs::PeerTopic topic, Millis timeout)
+// Returns how long a peer may delay its response.
+Millis max_delay_of(jobs::PeerTopic topic, Millis timeout)
 {
     if (topic == jobs::PeerTopic::worker_calls)
         return jobs::relay_poll_wait;
-    // It waits for the advisor or the store on our behalf.
-    const bool asks_others = topic == jobs::PeerTopic::advice
+    // For these topics the peer waits for the advisor or the store on this node's behalf.
+    const bool calls_services = topic == jobs::PeerTopic::advice
         || topic == jobs::PeerTopic::accept_job || topic == jobs::PeerTopic::cancel_job
         || topic == jobs::PeerTopic::job_state || topic == jobs::PeerTopic::worker_list;
-    return asks_others ? timeout : Millis(0);
+    return calls_services ? timeout : Millis(0);
 }
 
 } // namespace
@@ -36,10 +36,10 @@
     const auto server = parse_address(address);
     if (server)
         call.server = *server;
-    call.target = peer_target + to_string(request.topic);
+    call.target = peer_path_prefix + to_string(request.topic);
     call.body = encode(request);
     call.timeout = timeout;
-    call.max_response_delay = hold_of(request.topic, timeout);
+    call.max_response_delay = max_delay_of(request.topic, timeout);
     m_http.send(std::move(call), [done = std::move(done)](const CallOutcome& outcome) {
         if (outcome.end == CallEnd::refused) {
             done(jobs::PeerEnd::refused, {});
@@ -57,7 +57,7 @@
                          const ServerReply& reply)
 {
     const auto message = jobs::decode_peer_request(request.body);
-    if (request.target.rfind(peer_target, 0) != 0 || !message) {
+    if (request.target.rfind(peer_path_prefix, 0) != 0 || !message) {
         ServerResponse answer;
         answer.status = 400;
         reply(std::move(answer));
--- a/src/pathport_jobd/http_peers.h
+++ b/src/pathport_jobd/http_peers.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Messages between nodes as HTTP requests.
+/// Transport of messages between nodes over HTTP.
 
 #pragma once
 
@@ -12,7 +12,7 @@
 
 namespace pathport {
 
-/// Sends messages to peers.
+/// Sends messages to peers as HTTP requests.
 class HttpPeerClient : public jobs::PeerClient {
 public:
     explicit HttpPeerClient(AsyncHttpClient& http);
@@ -24,7 +24,7 @@
     AsyncHttpClient& m_http;
 };
 
-/// Answers a peer's request with what `node` says.
+/// Passes a peer's HTTP request to `node`, and replies with its answer.
 void handle_peer_request(jobs::JobNode& node, const ServerRequest& request,
                          const ServerReply& reply);
 
--- a/src/pathport_jobd/jobd_settings.cpp
+++ b/src/pathport_jobd/jobd_settings.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-constexpr double millis_of_a_core = 1000;
-constexpr double bytes_in_megabit = 125000;
+constexpr double millicores_per_core = 1000;
+constexpr double bytes_per_megabit = 125000;
 
 SettingSpec text(const char* section, const char* key)
 {
@@ -26,24 +26,24 @@
     return spec;
 }
 
-SettingSpec span(const char* section, const char* key, int64_t least, int64_t most,
-                 const char* otherwise)
+SettingSpec integer_setting(const char* section, const char* key, int64_t min_value,
+                            int64_t max_value, const char* fallback)
 {
     SettingSpec spec = text(section, key);
     spec.type = SettingType::integer;
-    spec.minimum = least;
-    spec.maximum = most;
-    spec.default_value = otherwise;
+    spec.minimum = min_value;
+    spec.maximum = max_value;
+    spec.default_value = fallback;
     return spec;
 }
 
-SettingSpec decimal(const char* section, const char* key, const char* otherwise)
+SettingSpec decimal(const char* section, const char* key, const char* fallback)
 {
     SettingSpec spec = text(section, key);
     spec.type = SettingType::decimal;
     spec.minimum = 0;
     spec.maximum = 1000000;
-    spec.default_value = otherwise;
+    spec.default_value = fallback;
     return spec;
 }
 
@@ -58,7 +58,7 @@
     return { text("node", "name"),
              level,
              off,
-             span("node", "stop_grace_ms", 500, 600000, "5000"),
+             integer_setting("node", "stop_grace_ms", 500, 600000, "5000"),
              decimal("machine", "processor_share", "1"),
              decimal("machine", "processor_cores", "1"),
              decimal("machine", "link_mbps", "1000"),
@@ -68,10 +68,10 @@
              address("listen", "metrics"),
              address("services", "store"),
              address("services", "advice"),
-             span("workers", "max_hold_ms", 1000, 3600000, "6000"),
-             span("workers", "kill_grace_ms", 1, 600000, "400"),
-             span("workers", "gang_timeout_ms", 1500, 600000, "3000"),
-             span("workers", "drain_ms", 1000, 600000, "2000") };
+             integer_setting("workers", "max_hold_ms", 1000, 3600000, "6000"),
+             integer_setting("workers", "kill_grace_ms", 1, 600000, "400"),
+             integer_setting("workers", "gang_timeout_ms", 1500, 600000, "3000"),
+             integer_setting("workers", "drain_ms", 1000, 600000, "2000") };
 }
 
 Address address_of(const Settings& settings, const char* section, const char* key)
@@ -99,9 +99,9 @@
     settings.stop_grace = file->millis("node", "stop_grace_ms");
     const double cores = file->decimal("machine", "processor_share")
         * file->decimal("machine", "processor_cores");
-    settings.cpu_millicores = static_cast<int>(cores * millis_of_a_core);
+    settings.cpu_millicores = static_cast<int>(cores * millicores_per_core);
     settings.link_bytes_per_s
-        = static_cast<int64_t>(file->decimal("machine", "link_mbps") * bytes_in_megabit);
+        = static_cast<int64_t>(file->decimal("machine", "link_mbps") * bytes_per_megabit);
     settings.clients = address_of(*file, "listen", "clients");
     settings.readiness = address_of(*file, "listen", "readiness");
     settings.peers = address_of(*file, "listen", "peers");
--- a/src/pathport_jobd/jobd_settings.h
+++ b/src/pathport_jobd/jobd_settings.h
@@ -14,27 +14,27 @@
 
 namespace pathport {
 
-/// All settings, checked.
+/// All settings, validated.
 struct JobdSettings {
     std::string node;
     std::string log_level;
-    Address clients; ///< Where clients hand in jobs.
-    Address readiness; ///< Where the balancer asks whether to send clients here.
-    Address peers; ///< Where other nodes send messages.
+    Address clients; ///< Listens for clients' requests.
+    Address readiness; ///< Listens for the load balancer's readiness checks.
+    Address peers; ///< Listens for messages of other nodes.
     Address metrics;
     Address store;
     Address advice;
     Millis max_hold; ///< The longest lease that a worker grants.
-    Millis kill_grace; ///< How long a stop takes at a worker.
-    Millis gang_timeout; ///< So long a gang's member waits for the others.
-    Millis drain; ///< Within it a worker that announces its end gets no new task any more.
-    Millis stop_grace; ///< How long a planned stop may take.
-    jobs::Mechanisms mechanisms; ///< For experiments only.
-    int64_t link_bytes_per_s = 0; ///< That the box's link moves in a second.
-    int cpu_millicores = 0; ///< Processor time that it may use, in thousandths of a core.
-
-    /// Reads a file. On failure returns nothing, and `reason` names the key, its value and
-    /// what is allowed.
+    Millis kill_grace; ///< Time that a worker takes to stop a task.
+    Millis gang_timeout; ///< Time that a gang's member waits for the others.
+    Millis drain; ///< A worker with less remaining time gets no new tasks.
+    Millis stop_grace; ///< Time limit of a planned shutdown.
+    jobs::Mechanisms mechanisms; ///< Some may be switched off for experiments.
+    int64_t link_bytes_per_s = 0; ///< Capacity of the box's network link.
+    int cpu_millicores = 0; ///< Available processor time, in thousandths of a core.
+
+    /// Loads a settings file. On failure returns nothing, and `reason` names the key, its
+    /// value and the allowed values.
     static std::optional<JobdSettings> load(const std::string& path, Failure& reason);
 };
 
--- a/src/pathport_jobd/main.cpp
+++ b/src/pathport_jobd/main.cpp
@@ -2,8 +2,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// pathport_jobd: one node of the job path. It accepts jobs, answers for them, and
-/// schedules when it is elected.
+/// pathport_jobd: one node of the job path. It accepts jobs, answers queries about them,
+/// and schedules them while it is the elected leader.
 
 #include "http_peers.h"
 #include "jobd_settings.h"
@@ -33,15 +33,15 @@
 constexpr int exit_bad_settings = 2;
 constexpr int exit_no_start = 3;
 constexpr size_t max_peer_body = size_t(4) * 1024 * 1024;
-constexpr Millis drain_check { 50 };
+constexpr Millis drain_check_interval { 50 };
 constexpr Millis traffic_interval { 5000 };
-/// Kinds of calls that moved less in that time are not told of, in bytes.
-constexpr int64_t least_traffic_told = 10000;
-/// Connections to one worker: one look and some orders. Workers bound the number of their
-/// connections, and those of leaders that lost power stay open there for long.
+/// Paths with less traffic in that interval are not logged, in bytes.
+constexpr int64_t min_logged_traffic = 10000;
+/// Maximum number of connections to one worker, for a poll and some orders. Workers limit
+/// their connections, and those of leaders that lost power stay open for a long time.
 constexpr size_t worker_connections = 6;
-/// Clients' open connections are closed so long before the end of the grace.
-constexpr Millis closing_time { 1500 };
+/// Clients' connections are closed so long before the end of the shutdown grace period.
+constexpr Millis close_margin { 1500 };
 
 ClientLimits worker_limits()
 {
@@ -50,7 +50,7 @@
     return limits;
 }
 
-/// The program: everything that lives as long as the process.
+/// The program: all objects that live as long as the process.
 class Program {
 public:
     explicit Program(const JobdSettings& settings)
@@ -64,15 +64,15 @@
         , m_node({ m_loop, m_store, m_store, m_workers, m_advice, m_peers, m_metrics,
                    [] { return wall_time().count(); } },
                  setup(settings))
-        , m_calls(m_node)
+        , m_request_handler(m_node)
         , m_clients(m_loop, settings.clients,
                     [this](ServerRequest request, ServerReply reply) {
-                        m_calls.handle(request, std::move(reply));
+                        m_request_handler.handle(request, std::move(reply));
                     },
                     {})
         , m_readiness(m_loop, settings.readiness,
                       [this](const ServerRequest& request, const ServerReply& reply) {
-                          m_calls.handle_readiness(request, reply);
+                          m_request_handler.handle_readiness(request, reply);
                       },
                       {})
         , m_peer_server(
@@ -95,7 +95,9 @@
         m_loop.on_signals([this](int number) { on_signal(number); });
         m_clients.capture_header(platform::api_key_header);
         if (!m_peer_server.start() || !m_clients.start() || !m_readiness.start()) {
-            std::cerr << "pathport_jobd: an address can't be used" << std::endl;
+            std::cerr << "pathport_jobd: can't listen on the address for clients, peers or "
+                         "readiness"
+                      << std::endl;
             return exit_no_start;
         }
         if (!m_metrics_server.start())
@@ -107,8 +109,8 @@
             set_limits(configuration);
         });
         m_node.begin();
-        m_watch.begin();
-        tell_traffic();
+        m_monitor.begin();
+        log_traffic();
         m_loop.run();
         const ProcessUsage usage = process_usage();
         log_event(
@@ -131,7 +133,7 @@
         setup.max_lease = settings.max_hold;
         setup.link_bytes_per_s = settings.link_bytes_per_s;
         setup.kill_grace = settings.kill_grace;
-        // All nodes are alike in an experiment without this.
+        // Without this mechanism all nodes count as equal.
         setup.cpu_millicores = settings.mechanisms.uses(jobs::Mechanism::strongest_leads)
             ? settings.cpu_millicores
             : 1;
@@ -157,7 +159,7 @@
         return answer;
     }
 
-    // What the leader knows of each workspace; an empty list elsewhere.
+    // Lists the workspaces as known to the leader; empty on other nodes.
     ServerResponse workspaces_answer()
     {
         ServerResponse answer;
@@ -165,8 +167,8 @@
         return answer;
     }
 
-    // What each kind of call takes of the link, in the log from time to time.
-    void tell_traffic()
+    // Logs the traffic by path at regular intervals.
+    void log_traffic()
     {
         HttpTrafficByPath all = m_http.traffic();
         for (const auto& [path, traffic] : m_worker_http.traffic())
@@ -175,22 +177,22 @@
         all["peers"] = m_peer_server.traffic();
         std::string text;
         for (const auto& [path, traffic] : all) {
-            const HttpTraffic& before = m_told_traffic[path];
+            const HttpTraffic& before = m_logged_traffic[path];
             const int64_t sent = traffic.sent - before.sent;
             const int64_t received = traffic.received - before.received;
-            if (sent + received > least_traffic_told)
+            if (sent + received > min_logged_traffic)
                 text += path + " " + std::to_string(sent) + "/" + std::to_string(received)
                     + " ";
         }
-        m_told_traffic = std::move(all);
+        m_logged_traffic = std::move(all);
         if (!text.empty())
             log_event(LogLevel::info, "link_traffic",
                       { { "span_ms", traffic_interval.count() },
                         { "sent_received_bytes", text } });
-        m_loop.after(traffic_interval, [this] { tell_traffic(); });
+        m_loop.after(traffic_interval, [this] { log_traffic(); });
     }
 
-    // The configuration sets the limits of clients' requests.
+    // Applies the configuration's limits to clients' requests.
     void set_limits(const jobs::Configuration& configuration)
     {
         ServerLimits limits;
@@ -210,9 +212,10 @@
         m_stopping = true;
         log_event(LogLevel::info, "stopping", {});
         m_node.begin_shutdown();
-        // The balancer sees the node leave; requests on open connections are served on.
+        // The load balancer sees the readiness check fail; requests on open connections are
+        // still served.
         m_clients.close_after_responses();
-        m_loop.after(m_settings.stop_grace - closing_time, [this] {
+        m_loop.after(m_settings.stop_grace - close_margin, [this] {
             m_clients.drain();
             stop_when_idle();
         });
@@ -225,7 +228,7 @@
             m_loop.stop();
             return;
         }
-        m_loop.after(drain_check, [this] { stop_when_idle(); });
+        m_loop.after(drain_check_interval, [this] { stop_when_idle(); });
     }
 
     JobdSettings m_settings;
@@ -238,13 +241,13 @@
     HttpPeerClient m_peers;
     Metrics m_metrics;
     jobs::JobNode m_node;
-    platform::ClientRequestHandler m_calls;
+    platform::ClientRequestHandler m_request_handler;
     AsyncHttpServer m_clients;
     AsyncHttpServer m_readiness;
     AsyncHttpServer m_peer_server;
     AsyncHttpServer m_metrics_server;
-    HttpTrafficByPath m_told_traffic;
-    ProcessMonitor m_watch { m_loop, m_metrics };
+    HttpTrafficByPath m_logged_traffic;
+    ProcessMonitor m_monitor { m_loop, m_metrics };
     bool m_stopping = false;
 };
 
--- a/src/pathport_jobd/process_monitor.h
+++ b/src/pathport_jobd/process_monitor.h
@@ -2,9 +2,9 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// How short a process is of processor time: how late its event loop runs, and what it
-/// uses. A process that runs late takes answers that it has not read yet for missing ones,
-/// so its log has to tell the two apart.
+/// Monitors the process for lack of processor time: the delay of its event loop and its
+/// processor use. A process whose loop is late takes responses that it has not read yet for
+/// missing ones, so its log has to allow telling the two apart.
 
 #pragma once
 
@@ -13,13 +13,13 @@
 
 namespace pathport {
 
-/// Watches the process of a loop, and tells of it in the log and the metrics.
+/// Reports the loop delay and the processor use of this process in the log and the metrics.
 class ProcessMonitor {
 public:
-    /// Both outlive this object.
+    /// Both arguments must outlive this object.
     ProcessMonitor(EventLoop& loop, Metrics& metrics);
 
-    /// Begins; goes on as long as the loop runs.
+    /// Starts the monitoring, which goes on as long as the loop runs.
     void begin();
 
 private:
@@ -28,10 +28,10 @@
 
     EventLoop& m_loop;
     Metrics& m_metrics;
-    Millis m_next_sample; ///< When the next look should be.
-    Millis m_last_report; ///< When the log last told of it.
+    Millis m_next_sample; ///< When the next sample is due.
+    Millis m_last_report; ///< When the load was last logged.
     Millis m_cpu_at_last_report; ///< Processor time used by then.
-    Millis m_max_delay; ///< The latest look since then.
+    Millis m_max_delay; ///< The largest delay of a sample since then.
 };
 
 } // namespace pathport
--- a/src/pathport_jobd/workspaces_page.h
+++ b/src/pathport_jobd/workspaces_page.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// The page that lists the workspaces.
+/// The HTTP page that lists the workspaces.
 
 #pragma once
 
@@ -14,7 +14,7 @@
 namespace pathport {
 
 /// Returns the loads as a JSON object: `leads`, and `workspaces`, each with its name,
-/// weight, bound and running resources, and counts of jobs and steps that wait.
+/// weight, bound and running resources, and the numbers of waiting jobs and steps.
 std::string workspaces_page(bool leads, const std::vector<jobs::WorkspaceLoad>& loads);
 
 } // namespace pathport
