--- a/src/base.lib/base_test.cpp
+++ b/src/base.lib/base_test.cpp
@@ -32,7 +32,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(settings_give_values_and_defaults)
+BOOST_AUTO_TEST_CASE(settings_have_values_and_defaults)
 {
     Failure reason;
     const auto settings = Settings::parse("[node]\nid = a\nthreads = 8\n[peers]\n"
@@ -46,7 +46,7 @@
     BOOST_TEST(settings->decimal("node", "share") == 0.5);
 }
 
-BOOST_AUTO_TEST_CASE(wrong_settings_name_file_section_key_value_and_what_is_allowed)
+BOOST_AUTO_TEST_CASE(invalid_settings_are_reported_with_place_value_and_allowed_values)
 {
     const std::string detail = failure_of("[node]\nid = a\nthreads = 9\n");
     for (const char* part : { "f.ini", "[node]", "threads", "'9'", "from 2 to 8" })
@@ -62,7 +62,7 @@
     BOOST_TEST(failure_of("[node]\nid = a\n[peers]\nseeds = 1.2.3.4:5,x\n") != "");
 }
 
-BOOST_AUTO_TEST_CASE(unknown_missing_and_doubled_keys_are_errors)
+BOOST_AUTO_TEST_CASE(unknown_missing_and_duplicate_keys_are_errors)
 {
     BOOST_TEST(failure_of("[node]\nid = a\nthread = 4\n").find("unknown key")
                != std::string::npos);
@@ -70,7 +70,7 @@
     BOOST_TEST(failure_of("[node]\nid = a\nid = b\n").find("twice") != std::string::npos);
 }
 
-BOOST_AUTO_TEST_CASE(uuid7_carries_its_time_and_has_one_spelling)
+BOOST_AUTO_TEST_CASE(uuid7_contains_its_timestamp_and_must_be_lower_case)
 {
     const Millis time(1765000000123);
     const std::string id = make_uuid7(time);
@@ -86,7 +86,7 @@
     BOOST_TEST(!uuid7_time(id.substr(1)));
 }
 
-BOOST_AUTO_TEST_CASE(secrets_compare_by_all_their_bytes)
+BOOST_AUTO_TEST_CASE(secrets_are_compared_in_full)
 {
     BOOST_TEST(equal_secrets("key-1", "key-1"));
     BOOST_TEST(!equal_secrets("key-1", "key-2"));
@@ -95,8 +95,9 @@
     BOOST_TEST(!equal_secrets("k", ""));
 }
 
-// The first work of an idle thread was once not noticed until other work came.
-BOOST_AUTO_TEST_CASE(timers_run_the_first_work_of_an_idle_thread)
+// Guards against a missed wake-up: the first function added while the timer thread was idle
+// did not run until another one was added.
+BOOST_AUTO_TEST_CASE(timers_run_the_first_function_added_to_an_idle_thread)
 {
     Timers timers;
     std::promise<void> ran;
@@ -105,7 +106,7 @@
     BOOST_TEST((status == std::future_status::ready));
 }
 
-BOOST_AUTO_TEST_CASE(timers_run_work_in_the_order_of_its_time)
+BOOST_AUTO_TEST_CASE(timers_run_functions_in_order_of_due_time)
 {
     Timers timers;
     std::vector<int> order;
--- a/src/base.lib/clock.cpp
+++ b/src/base.lib/clock.cpp
@@ -15,9 +15,9 @@
 
 Millis SystemClock::now() const
 {
-    timespec point {};
-    clock_gettime(CLOCK_BOOTTIME, &point);
-    return Millis(point.tv_sec * millis_per_second + point.tv_nsec / nanos_per_milli);
+    timespec time {};
+    clock_gettime(CLOCK_BOOTTIME, &time);
+    return Millis(time.tv_sec * millis_per_second + time.tv_nsec / nanos_per_milli);
 }
 
 Millis wall_time()
--- a/src/base.lib/clock_test.cpp
+++ b/src/base.lib/clock_test.cpp
@@ -2,8 +2,9 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// A machine that is suspended: the steady clock counts nothing of that time, which leases
-/// and the age of what is known must. The system's clocks are played here.
+/// Guards against clocks that stop while the system is suspended, as the steady clock does:
+/// leases and cached state would then outlive their limits by the time in suspend. The test
+/// replaces clock_gettime() to simulate a suspended system.
 
 #define BOOST_TEST_MODULE clock
 #include <boost/test/unit_test.hpp>
@@ -17,13 +18,13 @@
 
 namespace {
 
-/// For so long the machine has been suspended.
+/// Simulated time in suspend, in seconds.
 int64_t suspended_s = 0;
 
 } // namespace
 
-/// Takes the place of the C library's: clocks that count on while the machine sleeps are
-/// ahead by that time.
+/// Replaces the C library's function: adds the simulated time to the clocks that advance
+/// during suspend.
 extern "C" int clock_gettime(clockid_t clock, timespec* time) noexcept
 {
     const long result = syscall(SYS_clock_gettime, clock, time);
@@ -34,7 +35,7 @@
 
 using namespace pathport;
 
-BOOST_AUTO_TEST_CASE(time_goes_on_while_the_machine_is_suspended)
+BOOST_AUTO_TEST_CASE(clocks_advance_while_the_system_is_suspended)
 {
     constexpr int64_t span_s = 7;
     const SystemClock clock;
@@ -42,7 +43,7 @@
     const Millis wall_before = wall_time();
     const auto steady_before = std::chrono::steady_clock::now();
     suspended_s += span_s;
-    // The steady clock knows nothing of it, so what goes by it would find its time unspent.
+    // The steady clock does not advance, so it must not be used for leases or ages.
     BOOST_TEST(
         (std::chrono::steady_clock::now() - steady_before < std::chrono::seconds(span_s)));
     BOOST_TEST((clock.now() - before >= Millis(span_s * 1000)));
--- a/src/base.lib/ids.cpp
+++ b/src/base.lib/ids.cpp
@@ -31,7 +31,7 @@
     return text;
 }
 
-bool is_dash_position(size_t position)
+bool is_hyphen_position(size_t position)
 {
     return position == 8 || position == 13 || position == 18 || position == 23;
 }
@@ -42,10 +42,10 @@
     const std::string time = to_hex(static_cast<uint64_t>(wall.count()), uuid_time_digits);
     const uint64_t high = random_engine()();
     const uint64_t low = random_engine()();
-    const std::string tail = to_hex(low, 16);
+    const std::string low_digits = to_hex(low, 16);
     const uint64_t variant = 8 + (high >> 60) % 4;
     return time.substr(0, 8) + "-" + time.substr(8) + "-7" + to_hex(high & 0xfff, 3) + "-"
-        + to_hex(variant, 1) + tail.substr(0, 3) + "-" + tail.substr(3, 12);
+        + to_hex(variant, 1) + low_digits.substr(0, 3) + "-" + low_digits.substr(3, 12);
 }
 
 std::optional<Millis> uuid7_time(std::string_view text)
@@ -55,12 +55,13 @@
     int64_t time = 0;
     size_t digits = 0;
     for (size_t i = 0; i < text.size(); ++i) {
-        if (is_dash_position(i)) {
+        if (is_hyphen_position(i)) {
             if (text[i] != '-')
                 return std::nullopt;
             continue;
         }
-        // Upper case is refused: two spellings of one id would count as two ids.
+        // Only lower case is accepted: otherwise one id with two spellings would count as
+        // two.
         const size_t digit = std::string_view(hex_digits, 16).find(text[i]);
         if (digit == std::string_view::npos)
             return std::nullopt;
@@ -96,9 +97,9 @@
 {
     unsigned difference = given.size() == expected.size() ? 0U : 1U;
     for (size_t i = 0; i < given.size(); ++i) {
-        const char other = expected.empty() ? '\0' : expected[i % expected.size()];
-        difference
-            |= static_cast<unsigned char>(given[i]) ^ static_cast<unsigned char>(other);
+        const char expected_char = expected.empty() ? '\0' : expected[i % expected.size()];
+        difference |= static_cast<unsigned char>(given[i])
+            ^ static_cast<unsigned char>(expected_char);
     }
     return difference == 0;
 }
--- a/src/base.lib/log.cpp
+++ b/src/base.lib/log.cpp
@@ -25,11 +25,12 @@
 
 namespace {
 
-/// Counts how often each event name was written within the present second.
-class RepeatLimit {
+/// Limits the number of lines per second of each event name.
+class EventRateLimiter {
 public:
-    /// Returns whether the event may be written; sets `dropped` to how many were not.
-    bool admit(std::string_view event, int most, Millis now, int64_t& dropped)
+    /// Returns whether the event may be written. Sets `dropped` to the number of events
+    /// dropped in the previous window if this one starts a new window, else to 0.
+    bool admit(std::string_view event, int max_lines, Millis now, int64_t& dropped)
     {
         const std::lock_guard<std::mutex> lock(m_mutex);
         Window& window = m_windows[std::string(event)];
@@ -38,7 +39,7 @@
             dropped = window.dropped;
             window = Window { now, 0, 0 };
         }
-        if (window.written >= most) {
+        if (window.written >= max_lines) {
             ++window.dropped;
             return false;
         }
@@ -56,10 +57,10 @@
     std::map<std::string, Window> m_windows;
 };
 
-/// How lines are written; set once, before the first line.
+/// Output format and process name; set once, before the first event is logged.
 struct LogSetup {
     LogForm form = LogForm::text;
-    std::string process = "\"\""; ///< Quoted for JSON.
+    std::string process = "\"\""; ///< As a JSON string.
 };
 
 LogSetup& setup()
@@ -95,8 +96,9 @@
     return log4cxx::Level::getError();
 }
 
-// A value with a blank, a quote or a line break is quoted, so that a line stays one event.
-std::string quoted(const std::string& value)
+// Quotes a value that contains whitespace, a quote or '=', and replaces its line breaks by
+// spaces, so that each event stays on one line.
+std::string quote_if_needed(const std::string& value)
 {
     if (value.find_first_of(" \"\n\r\t=") == std::string::npos)
         return value;
@@ -109,7 +111,7 @@
     return text + "\"";
 }
 
-/// Appends lines to a descriptor without ever waiting for its reader.
+/// Writes lines to a file descriptor; drops a line rather than wait for the reader.
 class NonBlockingAppender : public log4cxx::AppenderSkeleton {
 public:
     NonBlockingAppender(int descriptor, log4cxx::LayoutPtr layout)
@@ -129,7 +131,8 @@
         m_layout->format(line, event, pool);
         std::string text;
         log4cxx::helpers::Transcoder::encode(line, text);
-        // A pipe that can be written to takes this much without blocking.
+        // A pipe that poll() reports as writable takes up to PIPE_BUF bytes without
+        // blocking, so longer lines are truncated.
         if (text.size() > PIPE_BUF) {
             text.resize(PIPE_BUF - 1);
             text += '\n';
@@ -145,17 +148,17 @@
     log4cxx::LayoutPtr m_layout;
 };
 
-std::string json_text(const std::string& value)
+std::string to_json_string(const std::string& value)
 {
     return nlohmann::json(value).dump(-1, ' ', false,
                                       nlohmann::json::error_handler_t::replace);
 }
 
-std::string as_text(std::string_view event, const std::vector<LogField>& fields)
+std::string format_text(std::string_view event, const std::vector<LogField>& fields)
 {
     std::string line = "event=" + std::string(event);
     for (const LogField& field : fields)
-        line += " " + field.key() + "=" + quoted(field.value());
+        line += " " + field.key() + "=" + quote_if_needed(field.value());
     return line;
 }
 
@@ -174,15 +177,15 @@
     return "error";
 }
 
-std::string as_json(LogLevel level, std::string_view event,
-                    const std::vector<LogField>& fields)
+std::string format_json(LogLevel level, std::string_view event,
+                        const std::vector<LogField>& fields)
 {
     std::string line = "{\"time_ms\":" + std::to_string(wall_time().count())
         + ",\"level\":\"" + level_name(level) + "\",\"process\":" + setup().process
         + ",\"event\":\"" + std::string(event) + "\"";
     for (const LogField& field : fields) {
         line += ",\"" + field.key()
-            + "\":" + (field.is_number() ? field.value() : json_text(field.value()));
+            + "\":" + (field.is_number() ? field.value() : to_json_string(field.value()));
     }
     return line + "}";
 }
@@ -197,7 +200,7 @@
 void start_log(const std::string& process, LogLevel level, LogForm form)
 {
     setup().form = form;
-    setup().process = json_text(process);
+    setup().process = to_json_string(process);
     const bool json = form == LogForm::json;
     const std::string pattern
         = json ? "%m%n" : "%d{yyyy-MM-ddTHH:mm:ss.SSS} %p process=" + process + " %m%n";
@@ -221,21 +224,22 @@
 
 void log_event(LogLevel level, std::string_view event, const std::vector<LogField>& fields)
 {
-    static RepeatLimit limit;
-    const log4cxx::LevelPtr target = to_log4cxx(level);
-    if (!logger()->isEnabledFor(target))
+    static EventRateLimiter limiter;
+    const log4cxx::LevelPtr log4cxx_level = to_log4cxx(level);
+    if (!logger()->isEnabledFor(log4cxx_level))
         return;
     int64_t dropped = 0;
     const bool severe = level == LogLevel::warn || level == LogLevel::error;
-    const int most = severe ? max_log_repeats_per_second : max_log_lines_per_second;
-    if (!limit.admit(event, most, SystemClock().now(), dropped))
+    const int max_lines = severe ? max_log_repeats_per_second : max_log_lines_per_second;
+    if (!limiter.admit(event, max_lines, SystemClock().now(), dropped))
         return;
-    std::vector<LogField> all = fields;
+    std::vector<LogField> all_fields = fields;
     if (dropped > 0)
-        all.emplace_back("repeats_dropped", dropped);
-    const std::string line
-        = setup().form == LogForm::json ? as_json(level, event, all) : as_text(event, all);
-    logger()->forcedLog(target, line, LOG4CXX_LOCATION);
+        all_fields.emplace_back("repeats_dropped", dropped);
+    const std::string line = setup().form == LogForm::json
+        ? format_json(level, event, all_fields)
+        : format_text(event, all_fields);
+    logger()->forcedLog(log4cxx_level, line, LOG4CXX_LOCATION);
 }
 
 } // namespace pathport
--- a/src/base.lib/process.cpp
+++ b/src/base.lib/process.cpp
@@ -19,7 +19,7 @@
 constexpr int64_t nanos_per_milli = 1000000;
 constexpr int64_t bytes_per_kb = 1024;
 
-sigset_t end_signals()
+sigset_t termination_signals()
 {
     sigset_t set;
     sigemptyset(&set);
@@ -37,18 +37,18 @@
 
 void block_end_signals()
 {
-    const sigset_t set = end_signals();
+    const sigset_t set = termination_signals();
     pthread_sigmask(SIG_BLOCK, &set, nullptr);
     signal(SIGPIPE, SIG_IGN);
 }
 
-bool end_requested(Millis span)
+bool end_requested(Millis timeout)
 {
-    const sigset_t set = end_signals();
-    timespec wait {};
-    wait.tv_sec = span.count() / millis_per_second;
-    wait.tv_nsec = span.count() % millis_per_second * nanos_per_milli;
-    return sigtimedwait(&set, nullptr, &wait) > 0;
+    const sigset_t set = termination_signals();
+    timespec wait_time {};
+    wait_time.tv_sec = timeout.count() / millis_per_second;
+    wait_time.tv_nsec = timeout.count() % millis_per_second * nanos_per_milli;
+    return sigtimedwait(&set, nullptr, &wait_time) > 0;
 }
 
 ProcessUsage process_usage()
--- a/src/base.lib/settings.cpp
+++ b/src/base.lib/settings.cpp
@@ -3,7 +3,7 @@
 
 #include <pathport/settings.h>
 
-// Settings are plain bytes; no conversion library is needed.
+// Settings files are read as plain bytes, without character set conversion.
 #define SI_NO_CONVERSION
 #include <SimpleIni.h>
 
@@ -52,9 +52,9 @@
         return "a number from " + std::to_string(spec.minimum) + " to "
             + std::to_string(spec.maximum);
     case SettingType::address:
-        return "an IPv4 number and a port, as in 127.0.0.1:8080";
+        return "an IPv4 address and a port, such as 127.0.0.1:8080";
     case SettingType::address_list:
-        return "addresses (IP:port) separated by commas";
+        return "IPv4 addresses with ports (IP:port), separated by commas";
     case SettingType::choice:
         return "one of " + join(spec.choices);
     }
@@ -107,7 +107,7 @@
                        + problem);
 }
 
-// Returns the first key of the file that no declaration allows, or that stands twice.
+// Returns a failure for the first key of the file that is undeclared or given twice.
 std::optional<Failure> check_keys(const CSimpleIniA& ini, const std::string& file,
                                   const std::vector<SettingSpec>& specs)
 {
@@ -192,7 +192,7 @@
 {
     CSimpleIniA ini(true, true, false);
     if (ini.LoadData(content) < 0) {
-        reason = Failure(FailureKind::bad_input, "file " + name + ": not an INI file");
+        reason = Failure(FailureKind::bad_input, "file " + name + ": not a valid INI file");
         return std::nullopt;
     }
     if (const auto problem = check_keys(ini, name, specs)) {
@@ -203,8 +203,9 @@
     for (const SettingSpec& spec : specs) {
         const char* given = ini.GetValue(spec.section.c_str(), spec.key.c_str());
         if (given == nullptr && !spec.default_value) {
-            reason = bad_setting(name, spec.section, spec.key,
-                                 "missing; allowed: " + allowed_values(spec));
+            reason
+                = bad_setting(name, spec.section, spec.key,
+                              "required key is missing; allowed: " + allowed_values(spec));
             return std::nullopt;
         }
         const std::string value = given != nullptr ? given : *spec.default_value;
--- a/src/base.lib/timers.cpp
+++ b/src/base.lib/timers.cpp
@@ -28,7 +28,7 @@
             const std::lock_guard<std::mutex> lock(m_mutex);
             m_stopping = true;
         }
-        m_changed.notify_all();
+        m_wakeup.notify_all();
         m_thread.join();
     }
 
@@ -41,11 +41,11 @@
         bool is_first = false;
         {
             const std::lock_guard<std::mutex> lock(m_mutex);
-            const auto added = m_work.emplace(due, std::move(work));
-            is_first = added == m_work.begin();
+            const auto added = m_pending.emplace(due, std::move(work));
+            is_first = added == m_pending.begin();
         }
         if (is_first)
-            m_changed.notify_all();
+            m_wakeup.notify_all();
     }
 
 private:
@@ -53,17 +53,17 @@
     {
         std::unique_lock<std::mutex> lock(m_mutex);
         while (!m_stopping) {
-            if (m_work.empty()) {
-                m_changed.wait(lock);
+            if (m_pending.empty()) {
+                m_wakeup.wait(lock);
                 continue;
             }
-            const auto due = m_work.begin()->first;
+            const auto due = m_pending.begin()->first;
             if (SteadyClock::now() < due) {
-                m_changed.wait_until(lock, due);
+                m_wakeup.wait_until(lock, due);
                 continue;
             }
-            const std::function<void()> work = std::move(m_work.begin()->second);
-            m_work.erase(m_work.begin());
+            const std::function<void()> work = std::move(m_pending.begin()->second);
+            m_pending.erase(m_pending.begin());
             lock.unlock();
             work();
             lock.lock();
@@ -71,8 +71,8 @@
     }
 
     std::mutex m_mutex;
-    std::condition_variable m_changed;
-    std::multimap<SteadyClock::time_point, std::function<void()>> m_work;
+    std::condition_variable m_wakeup;
+    std::multimap<SteadyClock::time_point, std::function<void()>> m_pending;
     bool m_stopping = false;
     std::thread m_thread;
 };
--- a/src/include/pathport/clock.h
+++ b/src/include/pathport/clock.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Time in whole milliseconds, and the clocks that give it.
+/// Time in whole milliseconds, and clocks.
 
 #pragma once
 
@@ -11,7 +11,7 @@
 
 namespace pathport {
 
-/// A span of time, or a point on one clock, in milliseconds.
+/// A duration, or a time point of one clock, in milliseconds.
 class Millis {
 public:
     constexpr Millis() = default;
@@ -41,35 +41,35 @@
     int64_t m_count = 0;
 };
 
-/// Source of time. Points from two clocks are never compared with each other.
+/// Source of time. Time points of different clocks must not be compared.
 class Clock {
 public:
     virtual ~Clock() = default;
 
-    /// Returns a point that never goes back and that counts on while the machine sleeps.
+    /// Returns the current time, which never goes back and also advances during suspend.
     virtual Millis now() const = 0;
 };
 
-/// The clock of this machine (CLOCK_BOOTTIME).
+/// Monotonic system clock that includes time in suspend (CLOCK_BOOTTIME).
 class SystemClock : public Clock {
 public:
     Millis now() const override;
 };
 
-/// A clock that a test moves by hand.
+/// Clock for tests; advances only when advance() is called.
 class ManualClock : public Clock {
 public:
     Millis now() const override { return Millis(m_now.load()); }
 
-    /// Moves the clock forward by `span`.
+    /// Advances the clock by `span`.
     void advance(Millis span) { m_now.fetch_add(span.count()); }
 
 private:
     std::atomic<int64_t> m_now { 1000000 };
 };
 
-/// Returns the wall-clock time in milliseconds since 1970-01-01 UTC. It stamps records for
-/// people and makes request ids; no decision about ownership uses it.
+/// Returns the wall-clock time in milliseconds since 1970-01-01 UTC. Used for timestamps in
+/// records and for request ids; ownership decisions never depend on it.
 Millis wall_time();
 
 } // namespace pathport
--- a/src/include/pathport/failure.h
+++ b/src/include/pathport/failure.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// The typed reason that goes with an empty `std::optional`.
+/// Typed errors; functions return them alongside an empty `std::optional`.
 
 #pragma once
 
@@ -11,28 +11,28 @@
 
 namespace pathport {
 
-/// What kind of failure happened. Every failure in pathport has exactly one kind.
+/// Category of a failure. Every failure in pathport has exactly one.
 enum class FailureKind {
-    none, ///< Nothing failed.
-    bad_input, ///< The input is malformed; it will not be accepted on a retry.
-    not_found, ///< The named thing does not exist.
-    conflict, ///< The thing has changed meanwhile; the detail holds the present value.
+    none, ///< No failure.
+    bad_input, ///< The input is malformed; a retry will fail too.
+    not_found, ///< The named object does not exist.
+    conflict, ///< The object was changed concurrently; the detail holds its current value.
     unauthorized, ///< The key is missing or wrong.
-    too_large, ///< The input is over a size limit.
+    too_large, ///< The input exceeds a size limit.
     overloaded, ///< A limit is reached; retry later.
-    unavailable, ///< A system that is needed can't be reached; nothing was changed.
+    unavailable, ///< A required system can't be reached; nothing was changed.
     outcome_unknown, ///< The change may or may not have taken effect.
     stale_epoch, ///< The sender's epoch is older than one already seen.
     not_owner, ///< The receiver does not own the shard.
-    no_capacity, ///< Nothing has room for it at present.
+    no_capacity, ///< There is currently not enough free capacity.
     policy_error, ///< A policy program failed to load or to run.
-    internal, ///< A fault in pathport itself.
+    internal, ///< An internal error of pathport.
 };
 
-/// Returns the stable lower-case name of `kind`, as it stands in answers and logs.
+/// Returns the stable lower-case name of `kind`, as used in responses and logs.
 const char* to_string(FailureKind kind);
 
-/// A failure: its kind, and a detail for people.
+/// A failure: its kind and a human-readable detail.
 class Failure {
 public:
     Failure() = default;
--- a/src/include/pathport/ids.h
+++ b/src/include/pathport/ids.h
@@ -15,23 +15,23 @@
 
 namespace pathport {
 
-/// Returns a new UUIDv7 in its 36-character text form, stamped with `wall`.
+/// Returns a new UUIDv7 in its 36-character text form, with `wall` as its timestamp.
 std::string make_uuid7(Millis wall);
 
-/// Returns the time in a UUIDv7's text form, or nothing when `text` is not a UUIDv7.
+/// Returns the timestamp of a UUIDv7, or nothing if `text` is not a UUIDv7 in lower case.
 std::optional<Millis> uuid7_time(std::string_view text);
 
 /// Returns 16 random hexadecimal digits.
 std::string random_token();
 
-/// Returns a hash that is the same on every machine and in every version.
+/// Returns a hash that is identical on all machines and in all versions of pathport.
 uint64_t stable_hash(std::string_view text);
 
 /// Returns whether `text` is a valid name: 1 to 63 of a-z, 0-9 and '-', starting with a
 /// letter.
 bool is_valid_name(std::string_view text);
 
-/// Compares two secrets in a time that depends on the length of `given` alone.
+/// Compares two secrets in a time that depends only on the length of `given`.
 bool equal_secrets(std::string_view given, std::string_view expected);
 
 } // namespace pathport
--- a/src/include/pathport/log.h
+++ b/src/include/pathport/log.h
@@ -2,9 +2,9 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Structured logs: one event a line, as `event key=value ...` or as a JSON object, written
-/// by log4cxx. Writing never blocks: a line that standard output can't take at once is left
-/// out and counted.
+/// Structured logging through log4cxx: one event per line, as `event=NAME key=value ...` or
+/// as a JSON object. Logging never blocks: a line that the output can't take at once is
+/// dropped and counted.
 
 #pragma once
 
@@ -16,10 +16,10 @@
 
 namespace pathport {
 
-/// How severe an event is.
+/// Severity of an event.
 enum class LogLevel { debug, info, warn, error };
 
-/// One named value of an event.
+/// A key and its value in an event.
 class LogField {
 public:
     LogField(std::string_view key, std::string_view value)
@@ -62,32 +62,32 @@
     bool m_number = false;
 };
 
-/// The form of the lines.
+/// Output format.
 enum class LogForm {
     text, ///< `time level process=... event=... key=value`, to standard error.
-    json, ///< One JSON object a line, to standard output.
+    json, ///< One JSON object per line, to standard output.
 };
 
-/// Sets up the log of this process: events at `level` and above are written, with `process`
-/// in each line.
+/// Initializes logging for this process: events at `level` and above are written, each with
+/// `process` as the process name.
 void start_log(const std::string& process, LogLevel level, LogForm form = LogForm::text);
 
-/// Returns the level that `name` stands for (debug, info, warn, error); info for other
-/// names.
+/// Parses a level name (debug, info, warn or error); returns LogLevel::info for any other
+/// name.
 LogLevel log_level_from(std::string_view name);
 
-/// Writes one event. Repeats of an event name within a second beyond
-/// `max_log_repeats_per_second` at warn or error, or beyond `max_log_lines_per_second` at
-/// info or debug, are dropped, and their count goes with the next one written.
+/// Logs one event. Events of one name are limited to `max_log_repeats_per_second` at warn
+/// or error and to `max_log_lines_per_second` at info or debug. Further ones are dropped;
+/// the first event of that name in a later second gives their number as `repeats_dropped`.
 void log_event(LogLevel level, std::string_view event,
                const std::vector<LogField>& fields = {});
 
-/// Returns how many lines were left out because nothing read them fast enough.
+/// Returns the number of lines dropped because the output was not read fast enough.
 int64_t dropped_log_lines();
 
-/// How often a second one event name is written at warn or error.
+/// Limit of lines per second for one event name at warn or error.
 constexpr int max_log_repeats_per_second = 5;
-/// How often a second one event name is written at info or debug.
+/// Limit of lines per second for one event name at info or debug.
 constexpr int max_log_lines_per_second = 600;
 
 } // namespace pathport
--- a/src/include/pathport/metrics.h
+++ b/src/include/pathport/metrics.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Metrics in the Prometheus form, over prometheus-cpp, which stays hidden.
+/// Prometheus metrics, implemented with prometheus-cpp (not exposed in this header).
 
 #pragma once
 
@@ -15,10 +15,10 @@
 
 namespace pathport {
 
-/// Label names with their values. Use only labels that take few values.
+/// Label names and values. Use only labels of low cardinality.
 using MetricLabels = std::map<std::string, std::string>;
 
-/// The metrics of one process. All calls are safe from any thread.
+/// Metrics registry of one process. All functions are thread-safe.
 class Metrics {
 public:
     Metrics();
@@ -26,21 +26,21 @@
     Metrics(const Metrics&) = delete;
     Metrics& operator=(const Metrics&) = delete;
 
-    /// Serves all metrics at `http://address/metrics`. Returns false when it can't listen.
+    /// Serves all metrics at `http://address/metrics`. Returns false if it can't listen.
     bool serve(const Address& address);
 
-    /// Adds to a counter; `name` ends in `_total`.
+    /// Adds `by` to a counter; `name` must end in `_total`.
     void count(const std::string& name, const MetricLabels& labels = {}, double by = 1);
     /// Sets a gauge.
     void set(const std::string& name, double value, const MetricLabels& labels = {});
-    /// Records a span of seconds in a histogram; `name` ends in `_seconds`.
+    /// Records a duration in a histogram; `name` must end in `_seconds`.
     void observe_seconds(const std::string& name, double seconds,
                          const MetricLabels& labels = {});
 
-    /// Returns all metrics in the text form, for a listener of the caller's.
+    /// Returns all metrics in the Prometheus text format, for an HTTP server of the caller.
     std::string text() const;
 
-    /// Returns the present value of a counter, or 0 when it was never counted.
+    /// Returns the current value of a counter, or 0 if it was never incremented.
     double counter_value(const std::string& name, const MetricLabels& labels = {}) const;
 
 private:
--- a/src/include/pathport/process.h
+++ b/src/include/pathport/process.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Ending a process in order.
+/// Graceful termination of a process, and its resource usage.
 
 #pragma once
 
@@ -12,20 +12,20 @@
 
 namespace pathport {
 
-/// Blocks SIGTERM and SIGINT in this thread and those it starts later, and ignores SIGPIPE.
-/// Call it first in main().
+/// Blocks SIGTERM and SIGINT in this thread and in threads it starts later, and ignores
+/// SIGPIPE. Must be called first in main(), before any thread is started.
 void block_end_signals();
 
-/// Waits up to `span` for SIGTERM or SIGINT; returns whether one has come.
-bool end_requested(Millis span);
+/// Waits up to `timeout` for SIGTERM or SIGINT; returns whether one was received.
+bool end_requested(Millis timeout);
 
-/// What this process has used since its start.
+/// Resource usage of this process.
 struct ProcessUsage {
-    Millis cpu; ///< User and system time.
-    int64_t resident_kb = 0; ///< Present resident memory.
+    Millis cpu; ///< User and system CPU time since the process started.
+    int64_t resident_kb = 0; ///< Current resident set size.
 };
 
-/// Returns what this process has used.
+/// Returns the resource usage of this process.
 ProcessUsage process_usage();
 
 } // namespace pathport
--- a/src/include/pathport/settings.h
+++ b/src/include/pathport/settings.h
@@ -2,8 +2,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Checked settings from INI files. A program declares every key with its type, range and
-/// default; anything else in the file is an error.
+/// Validated settings from INI files. A program declares each key with its type, range and
+/// default; an undeclared key in the file is an error.
 
 #pragma once
 
@@ -20,37 +20,37 @@
 
 namespace pathport {
 
-/// What values a key takes.
+/// Type of the values of a key.
 enum class SettingType {
     text, ///< Any non-empty text.
     integer, ///< A whole number within the declared range.
     decimal, ///< A decimal number within the declared range.
-    address, ///< `IP:port`, where IP is an IPv4 number and port is 1 to 65535.
+    address, ///< `IP:port`, with an IPv4 address and a port from 1 to 65535.
     address_list, ///< Comma-separated addresses; may be empty.
-    choice, ///< One of the declared words.
+    choice, ///< One of the declared choices.
 };
 
-/// The declaration of one key.
+/// Declaration of one key.
 struct SettingSpec {
     std::string section;
     std::string key;
     SettingType type = SettingType::text;
-    /// The default; nothing means that the key must be given.
+    /// The default; the key is required if there is none.
     std::optional<std::string> default_value;
-    int64_t minimum = 0; ///< Smallest allowed number.
-    int64_t maximum = 0; ///< Largest allowed number.
-    std::vector<std::string> choices; ///< Allowed words of a choice.
+    int64_t minimum = 0; ///< Smallest allowed value of an integer or a decimal.
+    int64_t maximum = 0; ///< Largest allowed value of an integer or a decimal.
+    std::vector<std::string> choices; ///< Allowed values of a choice.
 };
 
-/// The values of one file, all checked against their declarations.
+/// The settings of one file, validated against their declarations.
 class Settings {
 public:
-    /// Reads `path`. On failure returns nothing, and `reason` names file, section, key,
-    /// value and what is allowed.
+    /// Reads the file `path`. On failure returns nothing, and `reason` gives the file,
+    /// section, key, value and the allowed values.
     static std::optional<Settings>
     load(const std::string& path, const std::vector<SettingSpec>& specs, Failure& reason);
 
-    /// Reads from `content`; `name` stands for the file in failures.
+    /// Parses `content`; `name` is the file name to give in failures.
     static std::optional<Settings> parse(const std::string& content,
                                          const std::string& name,
                                          const std::vector<SettingSpec>& specs,
@@ -71,7 +71,7 @@
     std::map<std::pair<std::string, std::string>, std::string> m_values;
 };
 
-/// An IP number and a port.
+/// An IPv4 address and a port.
 struct Address {
     std::string ip;
     uint16_t port = 0;
@@ -83,14 +83,14 @@
     std::string to_string() const { return ip + ":" + std::to_string(port); }
 };
 
-/// Parses `IP:port`; returns nothing when it is malformed.
+/// Parses `IP:port`; returns nothing if it is malformed.
 std::optional<Address> parse_address(std::string_view text);
 
-/// Parses a whole decimal number; returns nothing when anything else stands in `text`.
+/// Parses a decimal integer; returns nothing if `text` has any other characters.
 std::optional<int64_t> parse_integer(std::string_view text);
 
-/// Parses a decimal number such as 0.25; returns nothing when anything else stands in
-/// `text`.
+/// Parses a number in fixed notation, such as 0.25; returns nothing if `text` has any other
+/// characters.
 std::optional<double> parse_decimal(std::string_view text);
 
 } // namespace pathport
--- a/src/include/pathport/timers.h
+++ b/src/include/pathport/timers.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Work that runs later, on one thread of its own.
+/// Delayed callbacks, run on a dedicated thread.
 
 #pragma once
 
@@ -13,11 +13,11 @@
 
 namespace pathport {
 
-/// Runs functions after a delay. The functions must be short, since they share one thread.
+/// Runs functions after a delay. They must return quickly, since they share one thread.
 class Timers {
 public:
     Timers();
-    /// Drops what has not run yet.
+    /// Discards the functions that have not run yet.
     ~Timers();
     Timers(const Timers&) = delete;
     Timers& operator=(const Timers&) = delete;
--- a/src/metrics.lib/metrics.cpp
+++ b/src/metrics.lib/metrics.cpp
@@ -15,7 +15,7 @@
 namespace pathport {
 
 namespace {
-const prometheus::Histogram::BucketBoundaries second_buckets
+const prometheus::Histogram::BucketBoundaries duration_buckets_s
     = { 0.0005, 0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5, 10 };
 const char* const help_text = "See docs/metrics.md.";
 } // namespace
@@ -58,7 +58,7 @@
             family = &prometheus::BuildHistogram().Name(name).Help(help_text).Register(
                 *registry);
         }
-        return family->Add(labels, second_buckets);
+        return family->Add(labels, duration_buckets_s);
     }
 };
 
