--- a/src/jobs.lib/multi_worker_fixture.h
+++ b/src/jobs.lib/multi_worker_fixture.h
@@ -2,8 +2,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// A scheduler that takes over one job on several workers, whose answers a test gives by
-/// hand, late or out of order.
+/// A scheduler that takes over one job on several workers, whose replies the test delivers
+/// by hand, also late or out of order.
 
 #pragma once
 
@@ -19,7 +19,7 @@
 
 namespace pathport::jobs {
 
-/// Workers whose answers a test gives by hand, told apart by their ids.
+/// Records calls to workers, which the test answers by hand.
 class ManualWorkers : public WorkerClient {
 public:
     struct Poll {
@@ -69,10 +69,10 @@
     emulator::World& m_world;
 };
 
-/// What a worker has to tell.
+/// The state that a worker reports.
 struct ManualWorkerState {
     bool unresponsive = false;
-    bool restarted = false; ///< Another life of its name answers in its place.
+    bool restarted = false; ///< Another incarnation replies under its name.
     std::vector<RunningTask> running;
     std::vector<EndedTask> ended;
 };
@@ -110,8 +110,8 @@
     return job;
 }
 
-/// A scheduler that takes over one job; `placed` says where its tasks run, and `prepare`
-/// changes the record of it that an earlier leader left.
+/// A scheduler that takes over one job. `placed` lists the worker and run of its tasks, and
+/// `prepare` changes the progress that the earlier leader recorded.
 struct MultiWorkerTakeOver {
     emulator::World world { 3 };
     emulator::Store store { world };
@@ -166,13 +166,13 @@
         scheduler = std::make_unique<Scheduler>(parts, claim, [] {});
         scheduler->begin();
     }
-    /// The store's clock is known from now on; until then no times of it are told.
+    /// Sets the store clock, which is unknown until then.
     void learn_store_clock()
     {
         store_clock.update(world.now().count(), world.now(), world.now());
     }
 
-    /// From now on the list names these lives.
+    /// Makes the worker list return workers of these ids.
     void list(const std::vector<std::string>& ids)
     {
         std::vector<WorkerInfo> infos;
@@ -191,14 +191,14 @@
         return info;
     }
 
-    /// What the worker would answer to this order now.
-    PollReport report_of(const ManualWorkers::Poll& look)
+    /// Returns the worker's present reply to a poll.
+    PollReport report_of(const ManualWorkers::Poll& call)
     {
         PollReport report = report_at(world.now());
-        const ManualWorkerState& state = worker_states[look.worker];
+        const ManualWorkerState& state = worker_states[call.worker];
         report.running = state.running;
         for (const EndedTask& end : state.ended) {
-            if (end.number > look.order.acked_through)
+            if (end.number > call.order.acked_through)
                 report.ended.push_back(end);
         }
         return report;
@@ -206,15 +206,15 @@
     void answer(size_t index)
     {
         manual_workers.polls[index].answered = true;
-        const auto look = manual_workers.polls[index];
-        if (worker_states[look.worker].unresponsive)
-            look.done(OrderStatus::unknown, std::nullopt);
-        else if (worker_states[look.worker].restarted)
-            look.done(OrderStatus::replaced, std::nullopt);
+        const auto call = manual_workers.polls[index];
+        if (worker_states[call.worker].unresponsive)
+            call.done(OrderStatus::unknown, std::nullopt);
+        else if (worker_states[call.worker].restarted)
+            call.done(OrderStatus::replaced, std::nullopt);
         else
-            look.done(OrderStatus::accepted, report_of(look));
+            call.done(OrderStatus::accepted, report_of(call));
     }
-    /// Answers all looks that are open, then again after each `step`.
+    /// Answers all open polls, and again after each `step`, for `span`.
     void answer_polls(Millis span, Millis step = Millis(50))
     {
         const Millis until = world.now() + span;
@@ -226,16 +226,17 @@
             world.run_for(step);
         }
     }
-    /// Starts that were ordered of the job's task.
+    /// Returns the number of start orders for a task.
     size_t count_starts(const TaskId& id) const
     {
         return size_t(
             std::count_if(manual_workers.starts.begin(), manual_workers.starts.end(),
                           [&](const auto& start) { return start.order.task == id; }));
     }
-    /// A start is under way without an answer, with a waiting look before it and a look
-    /// under a raised fence after it. The two looks are answered as of one millisecond of
-    /// the worker's clock, the one after the end of the run first.
+    /// Delivers two reports in reverse order. A start order gets no reply; a waiting poll
+    /// was sent before it and a poll with a raised fence after it. The reports are made
+    /// `apart` from each other, and the one that shows the end of the run is delivered
+    /// first.
     void deliver_reports_out_of_order(EndKind kind, Millis apart = Millis(0))
     {
         answer_polls(Millis(200));
@@ -261,7 +262,7 @@
         answer(waiting);
         manual_workers.polls[raised].answered = true;
         manual_workers.polls[raised].done(OrderStatus::accepted, before);
-        // The worker answers each look truly from now on; the store gets well.
+        // From here on the worker reports its actual state, and the store recovers.
         answer_polls(Millis(400), Millis(10));
         store.injected.latency_factor = 1;
         answer_polls(Millis(8000));
--- a/src/jobs.lib/random_schedule.h
+++ b/src/jobs.lib/random_schedule.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Random schedules: cells under load with trouble drawn from a seed, watched all the time.
+/// Random schedules: cells under load with faults drawn from a seed, checked throughout.
 
 #pragma once
 
@@ -12,12 +12,12 @@
 
 namespace pathport::cell_tests {
 
-/// Plays the schedule of a seed in one of the styles, and returns what is wrong: a job that
-/// could run and doesn't, one that was cancelled and runs on, a node that goes by an old
-/// configuration, and all that workers and clients see.
+/// Runs the schedule of a seed in one of the styles and returns all violations: stalled
+/// jobs, cancelled jobs that keep running, nodes with an outdated configuration, and what
+/// the emulated workers and clients detect.
 std::vector<std::string> run_random_schedule(uint64_t seed, int style);
 
-/// Plays schedules of seeds from `first` on, and reports those with something wrong.
+/// Runs the schedules of `count` seeds from `first` on and fails the test on violations.
 void expect_no_violations(int style, uint64_t first, uint64_t count);
 
 } // namespace pathport::cell_tests
--- a/src/jobs.lib/single_worker_fixture.h
+++ b/src/jobs.lib/single_worker_fixture.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// A worker whose answers a test gives by hand, a listener for one session, and a scheduler
+/// A worker that the test answers for by hand, a listener for one session, and a scheduler
 /// that takes over one job from an earlier leader.
 
 #pragma once
@@ -20,7 +20,7 @@
 
 namespace pathport::jobs {
 
-/// A worker whose answers are given by hand.
+/// Records calls to one worker, which the test answers by hand.
 class ManualWorker : public WorkerClient {
 public:
     std::vector<
@@ -51,13 +51,13 @@
     }
 };
 
-/// Nobody answers.
+/// Peers that never reply.
 class NoPeers : public PeerClient {
 public:
     void send(const std::string&, const PeerRequest&, Millis, PeerReply) override { }
 };
 
-/// Counts what a session concludes.
+/// Counts the events reported by a session.
 class RecordingListener : public SessionListener {
 public:
     int incarnations_ended = 0;
@@ -68,7 +68,7 @@
     bool has_recent_timeouts() const override { return missing_answers > 0; }
     bool may_renew_lease(const WorkerSession&) const override { return true; }
     void worker_lost(WorkerSession&) override { }
-    int missing_answers = 0; ///< Calls that were not answered.
+    int missing_answers = 0; ///< Calls without a reply.
     void report_received(WorkerSession&, const PollReport&, ReportStage) override { }
     void incarnation_ended(WorkerSession&) override { ++incarnations_ended; }
     void lease_expired(WorkerSession&) override { ++leases_lapsed; }
@@ -83,7 +83,8 @@
     return report;
 }
 
-/// Returns as many ends of other tasks as a report lists at most (PROTOCOL.md).
+/// Returns a report with the maximum number of ended tasks (PROTOCOL.md), all of another
+/// job.
 inline PollReport full_report_at(Millis now)
 {
     constexpr int listed_at_most = 500;
@@ -98,7 +99,7 @@
     return report;
 }
 
-/// A scheduler that takes over the job "job1", whose task runs as run 7 on its only worker.
+/// A scheduler that takes over "job1", whose only task is running as run 7 on worker "w1".
 struct SingleWorkerTakeOver {
     emulator::World world { 3 };
     emulator::Store store { world };
@@ -114,15 +115,15 @@
     static constexpr int64_t run = 7;
     std::unique_ptr<Scheduler> scheduler;
 
-    /// The list may name a worker of a service that the operators don't know as well.
-    explicit SingleWorkerTakeOver(bool lists_stranger = false)
+    /// `lists_unknown_service` adds a worker of an unknown service to the list.
+    explicit SingleWorkerTakeOver(bool lists_unknown_service = false)
     {
         WorkerInfo info;
         info.id = "w1";
         info.service = "s";
         info.capacity = { 4000, 4000, 0 };
         std::vector<WorkerInfo> listed { info };
-        if (lists_stranger) {
+        if (lists_unknown_service) {
             info.id = "w2";
             info.service = "unknown";
             listed.push_back(info);
@@ -144,7 +145,7 @@
         scheduler->begin();
         world.run_for(Millis(100));
     }
-    /// Answers the last look; then the worker has nothing to tell for a while.
+    /// Answers the last poll and runs for one second without further replies.
     void report(const PollReport& report)
     {
         worker.polls.back().second(OrderStatus::accepted, report);
@@ -152,7 +153,7 @@
     }
 
 private:
-    /// Returns the version of the head row.
+    /// Writes the rows of the job and the leader, and returns the version of the head row.
     int64_t put_rows()
     {
         AcceptedJob job;
--- a/src/jobs.lib/take_over_test.cpp
+++ b/src/jobs.lib/take_over_test.cpp
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Whole cells in which the leadership changes while tasks run that are not recorded.
+/// Whole cells in which the leadership changes while unrecorded tasks are running.
 
 #define BOOST_TEST_MODULE take_over
 #include <boost/test/unit_test.hpp>
@@ -15,12 +15,12 @@
 
 namespace {
 
-void submit(Cell& cell, int number, const StepModel& facts)
+void submit(Cell& cell, int number, const StepModel& model)
 {
-    submit_plain(cell, "job" + std::to_string(number), facts);
+    submit_plain(cell, "job" + std::to_string(number), model);
 }
 
-/// Hands in jobs while the store is so slow that starts precede their records.
+/// Submits jobs while the store is so slow that starts precede their records.
 void submit_to_slow_store(Cell& cell, int count, int64_t run_ms)
 {
     cell.store.injected.latency_factor = 80;
@@ -31,7 +31,7 @@
     }
 }
 
-/// Ids of jobs that lie in the parts that a new leader reads first.
+/// Returns ids of jobs in the parts that a new leader reads first.
 std::vector<std::string> ids_read_first()
 {
     std::vector<std::string> ids;
@@ -45,16 +45,16 @@
     return ids;
 }
 
-/// A cell whose leader is frozen while its orders precede their records; the store is quick
-/// until another node has claimed, and slow from then on. The leader wakes after `span` and
-/// takes hand-ins of tasks that run for `run_ms`.
-struct WokenLeader {
+/// A cell whose leader is frozen while its orders precede their records. The store is fast
+/// until another node has claimed and slow from then on. The leader resumes after `span`
+/// and accepts jobs whose tasks run for `run_ms`.
+struct ResumedLeader {
     Cell cell;
     int64_t epoch = 0;
     std::string first;
     std::string second;
 
-    explicit WokenLeader(uint64_t seed)
+    explicit ResumedLeader(uint64_t seed)
         : cell(seed, 2, 6)
     {
         cell.world.run_for(Millis(2000));
@@ -65,14 +65,14 @@
             cell.world.run_for(Millis(60));
         }
         epoch = epoch_of(cell);
-        // The answer to a write of the head row is on its way when the leader freezes.
+        // The reply to a write of the head row is in flight when the leader freezes.
         const std::string head = cell.store.value(jobs::lead_row(jobs::head_key));
         while (cell.store.value(jobs::lead_row(jobs::head_key)) == head)
             cell.world.run_for(Millis(1));
         first = cell.leader();
         second = first == "n1" ? "n2" : "n1";
     }
-    /// Freezes the leader and returns when the other node claimed.
+    /// Freezes the leader and returns the time until the other node claimed.
     Millis freeze(Millis span)
     {
         const Millis begun = cell.world.now();
@@ -88,9 +88,10 @@
         }
         return claimed;
     }
-    void hand_in(int64_t run_ms, int64_t slow)
+    void submit_jobs(int64_t run_ms, int64_t slow)
     {
-        cell.store.injected.latency_factor = 1; // For a moment: the store's speed varies.
+        cell.store.injected.latency_factor
+            = 1; // Fast for a moment: the store's speed varies.
         for (const std::string& id : ids_read_first())
             submit_plain(cell, id, small_step(1, run_ms));
         cell.world.run_for(Millis(20));
@@ -98,31 +99,31 @@
     }
 };
 
-/// Returns after which time the other node claims in the world of `seed`.
-Millis claim_time(uint64_t seed, bool cuts)
+/// Returns the time until the other node claims in the schedule of `seed`.
+Millis claim_time(uint64_t seed, bool partitions_workers)
 {
-    WokenLeader dry(seed);
-    if (cuts) {
+    ResumedLeader trial(seed);
+    if (partitions_workers) {
         for (const char* const worker : { "w1", "w2", "w3", "w4", "w5" })
-            dry.cell.workers.partition(worker, Millis(9000), dry.second);
+            trial.cell.workers.partition(worker, Millis(9000), trial.second);
     }
-    return dry.freeze(Millis(4000));
+    return trial.freeze(Millis(4000));
 }
 
-/// Plays a leader that is deposed and does not know it: it starts a task of a job that its
-/// successor has not read of. Returns what was breached.
-std::vector<std::string> start_behind_the_successor(int64_t run_ms)
+/// Acts as a leader that does not know that it is deposed and starts a task of a job that
+/// its successor has not read. Returns the violations.
+std::vector<std::string> start_unknown_to_successor(int64_t run_ms)
 {
     Cell cell(3, 2, 3);
     cell.world.run_for(Millis(2000));
-    StepModel facts = small_step(1, run_ms);
-    cell.workers.define_step("hidden", 0, facts);
+    StepModel model = small_step(1, run_ms);
+    cell.workers.define_step("hidden", 0, model);
     emulator::ProcessLoop loop(cell.world);
     emulator::WorkerPort port(cell.workers, loop, "deposed");
     jobs::StartOrder order;
     order.task = { "hidden", 0, 0, 0 };
     order.run = (int64_t(1) << 20) + 500000;
-    order.payload = facts.payload;
+    order.payload = model.payload;
     order.lease_until = cell.world.now().count() + 5000;
     order.fence = (int64_t(1) << 20) + 1;
     port.start(cell.workers.list().front(), order, Millis(400), [](jobs::OrderAnswer) {});
@@ -130,33 +131,33 @@
     cell.kill(cell.leader(), Millis(20000));
     while (epoch_of(cell) < 2)
         cell.world.run_for(Millis(1));
-    // The successor has read the part of the job's row by then.
+    // By then the successor has read the part with the job's row.
     cell.world.run_for(Millis(70));
     jobs::AcceptedJob job;
     job.id = "hidden";
     job.queue = cell.queue(false);
-    job.spec.payload = facts.payload;
+    job.spec.payload = model.payload;
     jobs::StepSpec step;
-    step.need = facts.need;
+    step.need = model.need;
     step.expected_ms = run_ms;
     job.spec.steps.push_back(step);
     jobs::StoreWrite write;
     write.puts.push_back({ jobs::job_row(job.id), encode(job) });
     cell.store.write_now(write);
     cell.world.run_for(Millis(12000));
-    auto wrong = cell.workers.violations();
+    auto problems = cell.workers.violations();
     if (!cell.workers.all_done("hidden", 0, 1, false))
-        wrong.emplace_back("not done");
-    return wrong;
+        problems.emplace_back("not done");
+    return problems;
 }
 
 } // namespace
 
 BOOST_TEST_GLOBAL_FIXTURE(LogFixture);
 
-// Found on the bench (TWICE, random day b-15 of the kiosk): the second of two leaders that
-// took over soon after each other read in the head row that nothing ran without a record,
-// since the first had written so with its claim.
+// Two leaders take over shortly after each other. The first must not write with its claim
+// that no unrecorded tasks are running, or the second does not wait for unresponsive
+// workers and starts their tasks twice.
 BOOST_AUTO_TEST_CASE(second_successor_waits_for_silent_workers_as_well)
 {
     for (uint64_t seed = 1; seed <= 20; ++seed) {
@@ -170,13 +171,13 @@
         cell.world.run_for(Millis(500 + int64_t(seed) * 20));
         cell.kill(cell.leader(), Millis(5000));
         cell.world.run_for(Millis(40000));
-        const auto wrong = cell.final_violations();
-        BOOST_TEST(wrong.empty(), "seed " << seed << join_lines(wrong));
+        const auto problems = cell.final_violations();
+        BOOST_TEST(problems.empty(), "seed " << seed << join_lines(problems));
     }
 }
 
-// Found on the same day: a leader knew from its workers which unrecorded tasks ran there
-// and did not record it; to the next one these workers were silent.
+// A leader that learns of unrecorded running tasks from its workers has to record them,
+// since the workers may be unresponsive to the next leader.
 BOOST_AUTO_TEST_CASE(tasks_found_running_are_recorded)
 {
     for (uint64_t seed = 1; seed <= 20; ++seed) {
@@ -190,13 +191,13 @@
             cell.workers.partition(worker, Millis(5000));
         cell.kill(cell.leader(), Millis(5000));
         cell.world.run_for(Millis(40000));
-        const auto wrong = cell.final_violations();
-        BOOST_TEST(wrong.empty(), "seed " << seed << join_lines(wrong));
+        const auto problems = cell.final_violations();
+        BOOST_TEST(problems.empty(), "seed " << seed << join_lines(problems));
     }
 }
 
-// A leader that is deposed without knowing it starts jobs that its successor does not know
-// yet, and has no record of them; their ends and runs are reported to the successor first.
+// A leader that does not know that it is deposed starts jobs without a record. Their runs
+// and ends are reported to the successor before it knows the jobs.
 BOOST_AUTO_TEST_CASE(jobs_of_a_deposed_leader_run_once)
 {
     for (uint64_t seed = 1; seed <= 6; ++seed) {
@@ -212,57 +213,58 @@
         }
         cell.store.injected.latency_factor = 1;
         cell.world.run_for(Millis(20000));
-        const auto wrong = cell.final_violations();
-        BOOST_TEST(wrong.empty(), "seed " << seed << join_lines(wrong));
+        const auto problems = cell.final_violations();
+        BOOST_TEST(problems.empty(), "seed " << seed << join_lines(problems));
     }
 }
 
-// Open since a hunt on the boards (TWICE): ends and runs of jobs that a leader did not know
-// yet were dropped, and the job was run again once it was known.
+// Reported runs and ends of jobs that the leader does not know yet have to be kept.
+// Otherwise the job runs again once it is known.
 BOOST_AUTO_TEST_CASE(runs_and_ends_wait_for_jobs_that_are_not_known_yet)
 {
     for (const int64_t run_ms : { 20, 60, 700, 3000 }) {
-        const auto wrong = start_behind_the_successor(run_ms);
-        BOOST_TEST(wrong.empty(), run_ms << " ms" << join_lines(wrong));
+        const auto problems = start_unknown_to_successor(run_ms);
+        BOOST_TEST(problems.empty(), run_ms << " ms" << join_lines(problems));
     }
 }
 
-// A leader that is deposed without knowing it starts a job that came after its successor
-// had read the job's part. The successor hears of the run's end before it knows the job,
-// has the worker forget the end, and starts the task again.
+// A leader that does not know that it is deposed starts a job that arrived after its
+// successor had read the job's part. If the successor acknowledges the end of the run
+// before it knows the job, it starts the task again.
 BOOST_AUTO_TEST_CASE(ends_of_jobs_not_known_yet_are_kept)
 {
     for (uint64_t seed = 1; seed <= 20; ++seed) {
-        WokenLeader woken(seed);
-        woken.freeze(claim_time(seed, false) + Millis(145));
-        woken.hand_in(100, 40);
-        woken.cell.world.run_for(Millis(6000));
-        woken.cell.store.injected.latency_factor = 1;
-        woken.cell.world.run_for(Millis(15000));
-        const auto wrong = woken.cell.final_violations();
-        BOOST_TEST(wrong.empty(), "seed " << seed << join_lines(wrong));
+        ResumedLeader resumed(seed);
+        resumed.freeze(claim_time(seed, false) + Millis(145));
+        resumed.submit_jobs(100, 40);
+        resumed.cell.world.run_for(Millis(6000));
+        resumed.cell.store.injected.latency_factor = 1;
+        resumed.cell.world.run_for(Millis(15000));
+        const auto problems = resumed.cell.final_violations();
+        BOOST_TEST(problems.empty(), "seed " << seed << join_lines(problems));
     }
 }
 
-// The same, but the workers are silent to the successor, whose load takes longer than its
-// predecessor's lease: the jobs are not held back, though the head row names the workers.
+// The same, but the workers are unresponsive to the successor, whose loading takes longer
+// than its predecessor's lease. Jobs that it learns of late have to be held back too, since
+// the head row names the workers.
 BOOST_AUTO_TEST_CASE(jobs_that_are_known_late_are_held_back)
 {
     for (uint64_t seed = 1; seed <= 20; ++seed) {
-        WokenLeader woken(seed);
+        ResumedLeader resumed(seed);
         for (const char* const worker : { "w1", "w2", "w3", "w4", "w5" })
-            woken.cell.workers.partition(worker, Millis(9000), woken.second);
-        woken.freeze(claim_time(seed, true) + Millis(145));
-        woken.hand_in(9000, 55);
-        woken.cell.world.run_for(Millis(6000));
-        woken.cell.store.injected.latency_factor = 1;
-        woken.cell.world.run_for(Millis(60000));
-        const auto wrong = woken.cell.final_violations();
-        BOOST_TEST(wrong.empty(), "seed " << seed << join_lines(wrong));
+            resumed.cell.workers.partition(worker, Millis(9000), resumed.second);
+        resumed.freeze(claim_time(seed, true) + Millis(145));
+        resumed.submit_jobs(9000, 55);
+        resumed.cell.world.run_for(Millis(6000));
+        resumed.cell.store.injected.latency_factor = 1;
+        resumed.cell.world.run_for(Millis(60000));
+        const auto problems = resumed.cell.final_violations();
+        BOOST_TEST(problems.empty(), "seed " << seed << join_lines(problems));
     }
 }
 
-// A hunt for the same in whole cells: planned stops while answers to writes are lost.
+// Search for the same fault in whole cells: planned stops while replies to writes are lost.
 BOOST_AUTO_TEST_CASE(planned_stops_with_lost_answers)
 {
     for (uint64_t seed = 1; seed <= 60; ++seed) {
@@ -286,7 +288,7 @@
         cell.store.injected.lost_write_replies = 0;
         cell.store.injected.latency_factor = 1;
         cell.world.run_for(Millis(40000));
-        const auto wrong = cell.final_violations();
-        BOOST_TEST(wrong.empty(), "seed " << seed << join_lines(wrong));
+        const auto problems = cell.final_violations();
+        BOOST_TEST(problems.empty(), "seed " << seed << join_lines(problems));
     }
 }
--- a/src/jobs.lib/unrecorded_crashes_test.cpp
+++ b/src/jobs.lib/unrecorded_crashes_test.cpp
@@ -2,9 +2,9 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Random schedules in which a leader loses its place while the store is slow, and with it
-/// starts that it had not recorded yet. A worker that crashes under such a start counts
-/// against no task, so a task that crashes its workers is started once more than it may be.
+/// Random schedules in which a leader is deposed while the store is slow, so that starts
+/// that it has not recorded yet are lost. A worker crash under such a start is attributed
+/// to no task, so a task that crashes its workers is started once more than allowed.
 
 #define BOOST_TEST_MODULE unrecorded_crashes
 #include <boost/test/unit_test.hpp>
--- a/src/jobs.lib/unrecorded_starts_test.cpp
+++ b/src/jobs.lib/unrecorded_starts_test.cpp
@@ -2,8 +2,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Faults that let tasks run twice after a take-over, each as a schedule of its own. They
-/// were found by reading and by the schedules of liveness_test.
+/// Schedules in which tasks could run twice after a takeover, since the earlier leader had
+/// started them without a record.
 
 #define BOOST_TEST_MODULE unrecorded_starts
 #include <boost/test/unit_test.hpp>
@@ -15,8 +15,8 @@
 
 BOOST_TEST_GLOBAL_FIXTURE(LogFixture);
 
-// An earlier leader has started tasks without a record, and the worker is not listed when
-// the next one takes over: it may run them all the same.
+// An earlier leader has started tasks without a record on a worker that is not listed when
+// the next one takes over. The new leader has to assume that they may be running.
 BOOST_AUTO_TEST_CASE(unrecorded_starts_on_an_unlisted_worker_are_waited_for)
 {
     for (uint64_t seed = 1; seed <= 10; ++seed) {
@@ -36,13 +36,13 @@
         cell.kill(cell.leader(), Millis(5000));
         cell.store.injected.latency_factor = 1;
         cell.world.run_for(Millis(30000));
-        const auto wrong = cell.final_violations();
-        BOOST_TEST(wrong.empty(), "seed " << seed << join_lines(wrong));
+        const auto problems = cell.final_violations();
+        BOOST_TEST(problems.empty(), "seed " << seed << join_lines(problems));
     }
 }
 
-// Seed 30104: a second leader claimed while the first one's starts without a record were
-// still to be waited for, and the head row no longer told the third one of them.
+// A second leader claims while it still has to wait for the first one's unrecorded starts
+// (first seen with seed 30104). The head row has to pass them on to the third leader.
 BOOST_AUTO_TEST_CASE(unrecorded_starts_are_waited_for_over_two_take_overs)
 {
     for (uint64_t seed = 1; seed <= 10; ++seed) {
@@ -55,7 +55,7 @@
             submit(cell, "q0", "job" + std::to_string(i), { one_core_step(1, 6000) });
             cell.world.run_for(Millis(100));
         }
-        // All of them run on the worker that is cut off now.
+        // All of them run on the worker that is partitioned now.
         cell.workers.partition("w1", Millis(5500));
         cell.kill(cell.leader(), Millis(500));
         cell.store.injected.latency_factor = 1;
@@ -63,7 +63,7 @@
             cell.world.run_for(Millis(50));
         cell.kill(cell.leader(), Millis(500));
         cell.world.run_for(Millis(30000));
-        const auto wrong = cell.final_violations();
-        BOOST_TEST(wrong.empty(), "seed " << seed << join_lines(wrong));
+        const auto problems = cell.final_violations();
+        BOOST_TEST(problems.empty(), "seed " << seed << join_lines(problems));
     }
 }
